--- a/specs/claims_machine.py
+++ b/specs/claims_machine.py
@@ -193,4 +193,4 @@
         """Let time pass, also beyond the expiry."""
         self.now_s += seconds
         for target in self.targets.values():
-            target.table.forget_expired(self.now_s)
+            target.table.drop_expired(self.now_s)
--- a/src/wisteriapulley/claims/ledger.py
+++ b/src/wisteriapulley/claims/ledger.py
@@ -19,7 +19,7 @@
 # prevented: a ledger that grows past the memory of a control instance.
 MAX_CLAIMS = 30_000
 # Claims are forgotten by the second of their expiry, never one by one.
-BUCKET_MS = 1000
+EXPIRY_BUCKET_MS = 1000
 
 
 class ClaimKey(msgspec.Struct, frozen=True, gc=False):
@@ -55,7 +55,7 @@
     @property
     def bucket(self) -> int:
         """Second in which it expires."""
-        return self.expires_at_ms // BUCKET_MS
+        return self.expires_at_ms // EXPIRY_BUCKET_MS
 
 
 class ClaimResult(msgspec.Struct, frozen=True):
@@ -83,17 +83,17 @@
         forgetting a live claim could run a request twice.
     """
 
-    def __init__(self, limit: int = MAX_CLAIMS):
-        self.limit = limit
+    def __init__(self, max_claims: int = MAX_CLAIMS):
+        self.max_claims = max_claims
         self.claims: dict[ClaimKey, Claim] = {}
         self.now_ms = 0
         self.buckets: dict[int, list[ClaimKey]] = {}
-        self.bucket_order: list[int] = []
+        self.bucket_heap: list[int] = []
 
     def put(
         self, key: ClaimKey, claim: Claim, expected_attempt: int, now_ms: int
     ) -> ClaimResult:
-        """Set a claim if the standing attempt is `expected_attempt`.
+        """Set a claim if the current attempt is `expected_attempt`.
 
         Parameters
         ----------
@@ -113,27 +113,29 @@
             With the claim that stands afterwards.
         """
         self.now_ms = max(self.now_ms, now_ms)
-        self.forget_expired()
-        standing = self.claims.get(key)
-        code = self.verdict(standing, claim, expected_attempt)
+        self.drop_expired()
+        current = self.claims.get(key)
+        code = self.check_claim(current, claim, expected_attempt)
         if code != ResultCode.OK:
-            return ClaimResult(code, standing)
-        self.set(key, claim)
+            return ClaimResult(code, current)
+        self.set_claim(key, claim)
         return ClaimResult(ResultCode.OK, claim)
 
-    def verdict(
-        self, standing: Claim | None, claim: Claim, expected_attempt: int
+    def check_claim(
+        self, current: Claim | None, claim: Claim, expected_attempt: int
     ) -> ResultCode:
-        """Judge a proposed claim against the standing one.
+        """Judge a proposed claim against the current one.
 
-        A standing claim is followed also after its expiry, because its request
+        A current claim is followed also after its expiry, because its request
         may have run; only a new attempt needs an expiry ahead.
         """
-        if standing is not None and standing.body_digest != claim.body_digest:
+        if current is not None and current.body_digest != claim.body_digest:
             return ResultCode.IDEMPOTENCY_CONFLICT
-        current = standing.attempt if standing is not None else 0
-        is_next = current == expected_attempt and claim.attempt == current + 1
-        if standing is not None and not is_next:
+        current_attempt = current.attempt if current is not None else 0
+        is_next = (
+            current_attempt == expected_attempt and claim.attempt == current_attempt + 1
+        )
+        if current is not None and not is_next:
             return ResultCode.IN_PROGRESS
         if claim.expires_at_ms <= self.now_ms:
             return ResultCode.REQUEST_EXPIRED
@@ -141,33 +143,33 @@
             return ResultCode.IN_PROGRESS
         if claim.expires_at_ms > self.now_ms + MAX_EXPIRY_MS + EXPIRY_MARGIN_MS:
             return ResultCode.CLAIM_UNAVAILABLE
-        if standing is None and len(self.claims) >= self.limit:
+        if current is None and len(self.claims) >= self.max_claims:
             return ResultCode.OVERLOADED
         return ResultCode.OK
 
-    def set(self, key: ClaimKey, claim: Claim) -> None:
+    def set_claim(self, key: ClaimKey, claim: Claim) -> None:
         """Let a claim stand and remember when it may be forgotten."""
-        standing = self.claims.get(key)
+        current = self.claims.get(key)
         target = sys.intern(claim.target)
         self.claims[key] = msgspec.structs.replace(claim, target=target)
-        if standing is None or standing.bucket != claim.bucket:
-            self.remember(key, claim.bucket)
+        if current is None or current.bucket != claim.bucket:
+            self.schedule_expiry(key, claim.bucket)
 
-    def remember(self, key: ClaimKey, bucket: int) -> None:
+    def schedule_expiry(self, key: ClaimKey, bucket: int) -> None:
         """Note that `key` expires in `bucket`."""
         if bucket not in self.buckets:
             self.buckets[bucket] = []
-            heapq.heappush(self.bucket_order, bucket)
+            heapq.heappush(self.bucket_heap, bucket)
         self.buckets[bucket].append(key)
 
-    def forget_expired(self) -> None:
+    def drop_expired(self) -> None:
         """Drop claims whose requests could no longer start anywhere.
 
         The cost is that of the claims dropped, not of those that stand.
         """
-        horizon = (self.now_ms - EXPIRY_MARGIN_MS) // BUCKET_MS
-        while self.bucket_order and self.bucket_order[0] < horizon:
-            bucket = heapq.heappop(self.bucket_order)
+        horizon = (self.now_ms - EXPIRY_MARGIN_MS) // EXPIRY_BUCKET_MS
+        while self.bucket_heap and self.bucket_heap[0] < horizon:
+            bucket = heapq.heappop(self.bucket_heap)
             for key in self.buckets.pop(bucket):
                 claim = self.claims.get(key)
                 if claim is not None and claim.bucket == bucket:
@@ -178,6 +180,6 @@
         self.claims = claims
         self.now_ms = now_ms
         self.buckets = {}
-        self.bucket_order = []
+        self.bucket_heap = []
         for key, claim in claims.items():
-            self.remember(key, claim.bucket)
+            self.schedule_expiry(key, claim.bucket)
--- a/src/wisteriapulley/direct/dispatch.py
+++ b/src/wisteriapulley/direct/dispatch.py
@@ -216,7 +216,7 @@
         code = RESULT_CODES[refusal.kind] if refusal is not None else ResultCode.OK
         took_s = self.now_s() - admitted.request.arrived_s
         traffic_class = f"{service}/{admitted.route.kind.value}"
-        self.metrics.answered(admitted.account_name, traffic_class, code, took_s)
+        self.metrics.record_response(admitted.account_name, traffic_class, code, took_s)
 
     def refused(self, request: CallerRequest, refusal: Refusal) -> Refusal:
         """Log a refusal, and fit its time to come back to the caller's."""
--- a/src/wisteriapulley/direct/sending.py
+++ b/src/wisteriapulley/direct/sending.py
@@ -209,7 +209,7 @@
         """Note the time to a stream's first event."""
         took_s = self.now_s() - admitted.request.arrived_s
         traffic_class = f"{target.state.service}/{admitted.route.kind.value}"
-        self.metrics.head_came(admitted.account_name, traffic_class, took_s)
+        self.metrics.record_first_part(admitted.account_name, traffic_class, took_s)
 
     async def whole(
         self,
--- a/src/wisteriapulley/entry/answer.py
+++ b/src/wisteriapulley/entry/answer.py
@@ -29,7 +29,7 @@
     abandon: Callable[[], None]
 
 
-async def own_reply(
+async def next_reply(
     call: Call, request_id: str, timeout_s: float | None = None
 ) -> Frame:
     """Wait for the next reply to this request; drop and count crossed ones.
@@ -63,7 +63,7 @@
     """
     offset = crc = consumed = 0
     while True:
-        frame = await own_reply(call, request_id)
+        frame = await next_reply(call, request_id)
         message = frame.message
         if isinstance(message, messages.AnswerEnd):
             if (message.length, message.crc) != (offset, crc):
--- a/src/wisteriapulley/entry/body.py
+++ b/src/wisteriapulley/entry/body.py
@@ -8,7 +8,7 @@
 
 # A connection that sends its body slower than this is refused: it would hold
 # memory and a place here for as long as it likes.
-BODY_READ_S = 30.0
+BODY_READ_TIMEOUT_S = 30.0
 # Bodies of all requests in progress; with links and code well under what an
 # entry instance has. The 11 requests a second of the design size need far less.
 MAX_BUFFERED_BYTES = 64 << 20
@@ -18,11 +18,11 @@
 class BodyBudget:
     """Bytes of the bodies that this entry holds."""
 
-    def __init__(self, limit: int = MAX_BUFFERED_BYTES):
-        self.limit = limit
-        self.held = 0
+    def __init__(self, max_bytes: int = MAX_BUFFERED_BYTES):
+        self.max_bytes = max_bytes
+        self.reserved = 0
 
-    def hold(self, size: int) -> None:
+    def reserve(self, size: int) -> None:
         """Count bytes in.
 
         Raises
@@ -30,14 +30,14 @@
         RequestError
             OVERLOADED: callers are sending more than this entry can hold.
         """
-        if self.held + size > self.limit:
+        if self.reserved + size > self.max_bytes:
             raise RequestError(
                 ResultCode.OVERLOADED, "too many bodies are held", RETRY_AFTER_MS
             )
-        self.held += size
+        self.reserved += size
 
 
-class HeldBody:
+class BufferedBody:
     """One request's body; counts its bytes until `release`."""
 
     def __init__(self, budget: BodyBudget, max_bytes: int):
@@ -55,29 +55,30 @@
             slowly or broke off.
         """
         if (request.content_length or 0) > self.max_bytes:
-            raise self.too_large()
+            raise self.too_large_error()
         try:
-            async with asyncio.timeout(BODY_READ_S):
-                return b"".join([part async for part in self.parts(request)])
+            async with asyncio.timeout(BODY_READ_TIMEOUT_S):
+                return b"".join([part async for part in self.read_parts(request)])
         except TimeoutError as error:
             raise RequestError(
-                ResultCode.REQUEST_MALFORMED, f"body: expected within {BODY_READ_S} s"
+                ResultCode.REQUEST_MALFORMED,
+                f"body: expected within {BODY_READ_TIMEOUT_S} s",
             ) from error
         except (web.RequestPayloadError, ValueError) as error:
             raise RequestError(
                 ResultCode.REQUEST_MALFORMED, f"body: {error}"
             ) from error
 
-    async def parts(self, request: web.Request):
+    async def read_parts(self, request: web.Request):
         """Yield the parts of the body as they come."""
         async for part in request.content.iter_any():
             if self.size + len(part) > self.max_bytes:
-                raise self.too_large()
-            self.budget.hold(len(part))
+                raise self.too_large_error()
+            self.budget.reserve(len(part))
             self.size += len(part)
             yield part
 
-    def too_large(self) -> RequestError:
+    def too_large_error(self) -> RequestError:
         """Make the error of a body that is too large."""
         return RequestError(
             ResultCode.BODY_TOO_LARGE, f"expected at most {self.max_bytes} bytes"
@@ -85,5 +86,5 @@
 
     def release(self) -> None:
         """Count the bytes out."""
-        self.budget.held -= self.size
+        self.budget.reserved -= self.size
         self.size = 0
--- a/src/wisteriapulley/entry/claims.py
+++ b/src/wisteriapulley/entry/claims.py
@@ -15,16 +15,18 @@
     return ClaimKey(request.account, request.key)
 
 
-def new_claim(
-    request: CallerRequest, dead: Claim | None, target: str, incarnation: int
+def next_claim(
+    request: CallerRequest, previous: Claim | None, target: str, incarnation: int
 ) -> Claim:
     """Make the claim that follows `dead`.
 
     Its expiry never gets shorter: a resend with an earlier one would let the
     ledger forget the key while an attempt may still start.
     """
-    number = dead.attempt if dead is not None else 0
-    expires_ms = max(request.expires_ms, dead.expires_at_ms if dead is not None else 0)
+    number = previous.attempt if previous is not None else 0
+    expires_ms = max(
+        request.expires_ms, previous.expires_at_ms if previous is not None else 0
+    )
     return Claim(request.digest(), target, incarnation, number + 1, expires_ms)
 
 
--- a/src/wisteriapulley/entry/dispatch.py
+++ b/src/wisteriapulley/entry/dispatch.py
@@ -8,7 +8,7 @@
 from contextlib import aclosing
 from typing import NamedTuple
 
-from wisteriapulley.entry.answer import Answer, own_reply, read_parts
+from wisteriapulley.entry.answer import Answer, next_reply, read_parts
 from wisteriapulley.entry.placing import Placer, Slot
 from wisteriapulley.entry.request import CallerRequest
 from wisteriapulley.errors import (
@@ -28,12 +28,12 @@
 MAX_ATTEMPTS = 4
 RETRY_AFTER_MS = 1000
 # A link to the only target that holds a service is replaced within this.
-RELINK_S = 1.0
-RELINK_POLL_S = 0.05
-UNAVAILABLE = 503
+RELINK_TIMEOUT_S = 1.0
+RELINK_POLL_INTERVAL_S = 0.05
+HTTP_UNAVAILABLE = 503
 RESUMED_HEADER = "x-resumed-from"
 # Codes that another target can't better.
-FINAL_CODES = frozenset(
+NOT_RETRYABLE_CODES = frozenset(
     (ResultCode.DEADLINE_EXCEEDED, ResultCode.MAY_HAVE_RUN, ResultCode.OVERLOADED)
 )
 
@@ -42,7 +42,7 @@
     """The request never left this entry."""
 
 
-class Rest(NamedTuple):
+class AnswerRange(NamedTuple):
     """What of an answer is asked for: bytes from `start`, of `version` only.
 
     An empty version leaves the choice to the target.
@@ -52,7 +52,7 @@
     version: str
 
 
-WHOLE = Rest(0, "")
+FULL_ANSWER = AnswerRange(0, "")
 
 
 class OpenAnswer(NamedTuple):
@@ -73,7 +73,7 @@
 
     def __init__(self, placer: Placer):
         self.placer = placer
-        self.budget = RetryBudget()
+        self.retry_budget = RetryBudget()
 
     async def run(self, request: CallerRequest) -> Answer:
         """Try targets until one answers, within budget and deadline.
@@ -83,21 +83,21 @@
         RequestError
             Refused or failed. It says "not run" only when no attempt ran.
         """
-        self.budget.admitted()
-        doubt = None
+        self.retry_budget.admitted()
+        uncertain_error = None
         avoid: set[str] = set()
         for attempt in itertools.count(1):
             try:
-                slot = await self.place(request, avoid, doubt)
+                slot = await self.acquire_slot(request, avoid, uncertain_error)
             except RequestError as error:
-                raise doubt or error from error
+                raise uncertain_error or error from error
             try:
                 return await self.send(request, slot, attempt)
             except WisteriapulleyError as error:
                 avoid.add(slot.node_id)
-                doubt = error if may_have_run(error) else doubt
+                uncertain_error = error if may_have_run(error) else uncertain_error
                 if not self.may_retry(request, error, attempt):
-                    raise doubt or error from error
+                    raise uncertain_error or error from error
                 log.info(
                     "retry: %s",
                     error,
@@ -105,27 +105,29 @@
                 )
         raise AssertionError("unreachable")
 
-    async def place(
+    async def acquire_slot(
         self,
         request: CallerRequest,
         avoid: set[str],
-        doubt: WisteriapulleyError | None,
+        uncertain_error: WisteriapulleyError | None,
     ) -> Slot:
         """Wait for a place at a target.
 
         After a lost link the only target may be the one behind it: then this
-        waits a moment for the link's replacement.
+        may_relink a moment for the link's replacement.
         """
-        give_up_s = time.monotonic() + RELINK_S
+        relink_deadline_s = time.monotonic() + RELINK_TIMEOUT_S
         while True:
             try:
                 return await self.placer.acquire(request, avoid)
             except RequestError as error:
-                waits = error.code == ResultCode.NO_TARGET and doubt is not None
-                if not waits or time.monotonic() > give_up_s:
+                may_relink = (
+                    error.code == ResultCode.NO_TARGET and uncertain_error is not None
+                )
+                if not may_relink or time.monotonic() > relink_deadline_s:
                     raise
             avoid.clear()
-            await asyncio.sleep(RELINK_POLL_S)
+            await asyncio.sleep(RELINK_POLL_INTERVAL_S)
 
     def may_retry(
         self, request: CallerRequest, error: WisteriapulleyError, attempt: int
@@ -135,23 +137,23 @@
         The budget keeps retries at a tenth of what is admitted, so that a
         failing service sees its load grow by a tenth and not by the attempts.
         """
-        if attempt == MAX_ATTEMPTS or error.code in FINAL_CODES:
+        if attempt == MAX_ATTEMPTS or error.code in NOT_RETRYABLE_CODES:
             return False
-        return request.remaining_s > 0 and self.budget.spend()
+        return request.remaining_s > 0 and self.retry_budget.spend()
 
     async def send(self, request: CallerRequest, slot: Slot, attempt: int) -> Answer:
         """Dispatch to one target; return once the answer's head is there."""
         try:
-            opened = await self.open(request, slot, attempt, slot.incarnation)
-            if opened.head.status == UNAVAILABLE and not request.key:
+            opened = await self.open_call(request, slot, attempt, slot.incarnation)
+            if opened.head.status == HTTP_UNAVAILABLE and not request.key:
                 self.cancel(opened.call, request)
                 raise RequestError(ResultCode.TARGET_FAILED, "the target answered 503")
         except BaseException as error:
             slot.release(ok=False, cancelled=isinstance(error, asyncio.CancelledError))
             raise
-        return self.answer(request, opened, slot, attempt)
+        return self.make_answer(request, opened, slot, attempt)
 
-    def answer(
+    def make_answer(
         self, request: CallerRequest, opened: OpenAnswer, slot: Slot, attempt: int
     ) -> Answer:
         """Make the answer of an opened call."""
@@ -160,15 +162,19 @@
             slot.release(ok=False, cancelled=True)
             self.cancel(opened.call, request)
 
-        return Answer(opened.head, self.parts(request, opened, slot, attempt), abandon)
+        return Answer(
+            opened.head,
+            self.read_resumable_parts(request, opened, slot, attempt),
+            abandon,
+        )
 
-    async def open(
+    async def open_call(
         self,
         request: CallerRequest,
         slot: Slot,
         attempt: int,
         incarnation: int,
-        rest: Rest = WHOLE,
+        answer_range: AnswerRange = FULL_ANSWER,
     ) -> OpenAnswer:
         """Dispatch and wait for the answer's head.
 
@@ -183,7 +189,9 @@
         remaining_s = request.remaining_s
         if remaining_s <= 0:
             raise NotSentError(ResultCode.DEADLINE_EXCEEDED, "before dispatch")
-        message = dispatch_message(request, attempt, incarnation, remaining_s, rest)
+        message = dispatch_message(
+            request, attempt, incarnation, remaining_s, answer_range
+        )
         try:
             call = link.call(message, request.body)
         except WireError as error:
@@ -200,12 +208,12 @@
     async def read_head(self, request: CallerRequest, call: Call):
         """Wait for the answer's head until the deadline."""
         try:
-            frame = await own_reply(call, request.request_id, request.remaining_s)
+            frame = await next_reply(call, request.request_id, request.remaining_s)
         except WireError as error:
-            raise self.in_time(request, error) from error
+            raise self.as_deadline_error(request, error) from error
         return frame.message
 
-    def in_time(
+    def as_deadline_error(
         self, request: CallerRequest, error: WisteriapulleyError
     ) -> WisteriapulleyError:
         """Turn a timeout of the link into the passing of the deadline."""
@@ -219,7 +227,7 @@
             )
         return RequestError(ResultCode.DEADLINE_EXCEEDED, "while it ran")
 
-    async def parts(
+    async def read_resumable_parts(
         self, request: CallerRequest, opened: OpenAnswer, slot: Slot, attempt: int
     ) -> AsyncIterator[bytes]:
         """Yield the answer's parts; take the request off when given up.
@@ -229,7 +237,7 @@
         """
         sent = 0
         try:
-            async with aclosing(self.own_parts(request, opened)) as parts:
+            async with aclosing(self.read_call_parts(request, opened)) as parts:
                 async for part in parts:
                     sent += len(part)
                     yield part
@@ -240,7 +248,7 @@
                 request, opened.head, slot, attempt, sent, error
             )
             if resumed is None:
-                raise self.in_time(request, error) from error
+                raise self.as_deadline_error(request, error) from error
             try:
                 async with aclosing(resumed.parts) as parts:
                     async for part in parts:
@@ -250,7 +258,7 @@
         finally:
             slot.release(ok=False, cancelled=True)
 
-    async def own_parts(
+    async def read_call_parts(
         self, request: CallerRequest, opened: OpenAnswer
     ) -> AsyncIterator[bytes]:
         """Yield parts; a call that ends early is taken off its target."""
@@ -275,28 +283,34 @@
 
         One whose engine changed its version has no rest: what came is mixed.
         """
-        can_resume = header(head, "x-resumable") and not request.key
+        can_resume = find_header(head, "x-resumable") and not request.key
         if error.code == ResultCode.ENGINE_WRONG_DIGEST:
             return None
-        if not can_resume or request.remaining_s <= 0 or not self.budget.spend():
+        if not can_resume or request.remaining_s <= 0 or not self.retry_budget.spend():
             return None
         try:
-            other = await self.placer.acquire(request, {slot.node_id}, head.version)
+            other_slot = await self.placer.acquire(
+                request, {slot.node_id}, head.version
+            )
         except RequestError:
             return None
         try:
-            opened = await self.open(
-                request, other, attempt + 1, other.incarnation, Rest(sent, head.version)
+            opened = await self.open_call(
+                request,
+                other_slot,
+                attempt + 1,
+                other_slot.incarnation,
+                AnswerRange(sent, head.version),
             )
         except WisteriapulleyError:
-            other.release(ok=False)
+            other_slot.release(ok=False)
             return None
-        resumed_from = header(opened.head, RESUMED_HEADER) or "0"
+        resumed_from = find_header(opened.head, RESUMED_HEADER) or "0"
         if resumed_from != str(sent) or opened.head.version != head.version:
-            other.release(ok=False, cancelled=True)
+            other_slot.release(ok=False, cancelled=True)
             self.cancel(opened.call, request)
             return None
-        return self.answer(request, opened, other, MAX_ATTEMPTS)
+        return self.make_answer(request, opened, other_slot, MAX_ATTEMPTS)
 
     def cancel(self, call: Call, request: CallerRequest) -> None:
         """Forget a call that is not whole and take its request off the target."""
@@ -307,7 +321,7 @@
             call.link.post(messages.Cancel(request.request_id))
 
 
-def header(head: messages.AnswerHead, name: str) -> str:
+def find_header(head: messages.AnswerHead, name: str) -> str:
     """Return a header of an answer, or empty."""
     return next((h.value for h in head.headers if h.name.lower() == name), "")
 
@@ -329,7 +343,7 @@
     attempt: int,
     incarnation: int,
     remaining_s: float,
-    rest: Rest,
+    answer_range: AnswerRange,
 ) -> messages.Dispatch:
     """Build the frame that carries a request to a sidecar."""
     entry = request.entry
@@ -347,8 +361,8 @@
         attempt,
         incarnation,
         expires_in_ms(request),
-        rest.version,
+        answer_range.version,
         b"",
-        rest.start,
+        answer_range.start,
         request.expires_ms,
     )
--- a/src/wisteriapulley/entry/metrics.py
+++ b/src/wisteriapulley/entry/metrics.py
@@ -6,7 +6,7 @@
 # them large. Accounts are callers' text, and invented ones must not grow the
 # page without end; the rest are counted together.
 MAX_ACCOUNTS = 64
-OTHER = "other"
+OTHER_ACCOUNTS = "other"
 
 
 class EntryMetrics:
@@ -32,9 +32,9 @@
         if admitted and len(self.accounts) < self.max_accounts:
             self.accounts.add(account)
             return account
-        return OTHER
+        return OTHER_ACCOUNTS
 
-    def answered(
+    def record_response(
         self, account: str, traffic_class: str, code: int, seconds: float
     ) -> None:
         """Count a request's end; `code` 0 is a whole answer."""
@@ -43,7 +43,9 @@
         self.requests.inc({**labels, "code": str(code)})
         self.latency.add(labels, seconds)
 
-    def head_came(self, account: str, traffic_class: str, seconds: float) -> None:
+    def record_first_part(
+        self, account: str, traffic_class: str, seconds: float
+    ) -> None:
         """Count the time to an answer's head."""
         label = self.account_label(account, True)
         self.first_part.add({"account": label, "class": traffic_class}, seconds)
--- a/src/wisteriapulley/entry/placing.py
+++ b/src/wisteriapulley/entry/placing.py
@@ -14,7 +14,7 @@
 from wisteriapulley.wire import Link
 
 # Slow targets are looked for, and places opened by others found, this often.
-SWEEP_S = 0.1
+SWEEP_INTERVAL_S = 0.1
 # A place is free when a target says so; its news lags by up to a heartbeat.
 RETRY_AFTER_MS = 1000
 
@@ -22,7 +22,7 @@
 class Slot:
     """A place at a target, held by one request until it is released."""
 
-    def __init__(self, pool: "Pool", work: Work, target: Target):
+    def __init__(self, pool: "ServicePool", work: Work, target: Target):
         self.pool = pool
         self.work = work
         self.target = target
@@ -30,7 +30,7 @@
         self.node_id = target.member.node_id
         self.incarnation = link.peer.incarnation if link is not None else 0
         self.held = True
-        target.take()
+        target.add_request()
 
     @property
     def link(self) -> Link | None:
@@ -46,13 +46,13 @@
         self.pool.finish(self.work, ok and not cancelled)
 
 
-class Pool:
+class ServicePool:
     """Requests of one service, waiting and running."""
 
     def __init__(self, targets: Targets, rng: random.Random):
         self.targets = targets
         self.scheduler = Scheduler(LeastOutstanding(rng))
-        self.waiting: dict[int, asyncio.Future] = {}
+        self.queued_futures: dict[int, asyncio.Future] = {}
         self.entry: Entry | None = None
 
     def views(self, avoid: Sequence[str] = (), version: str = "") -> list[TargetView]:
@@ -74,13 +74,13 @@
         now_s = time.monotonic()
         limit = entry.limits.in_flight
         if avoid:
-            return self.slot(work, self.place_again(work, views, limit, now_s))
+            return self.take_slot(work, self.place_retry(work, views, limit, now_s))
         node_id = self.scheduler.offer(work, views, limit, now_s)
         if node_id is not None:
-            return self.slot(work, node_id)
-        return await self.wait(work)
+            return self.take_slot(work, node_id)
+        return await self.wait_in_queue(work)
 
-    def place_again(
+    def place_retry(
         self, work: Work, views: list[TargetView], limit: int, now_s: float
     ) -> str:
         """Place a retry: it has waited before and does not queue again."""
@@ -90,7 +90,7 @@
             raise RequestError(code, "no other target has room", RETRY_AFTER_MS)
         return self.scheduler.place(work, room, now_s)
 
-    def slot(self, work: Work, node_id: str) -> Slot:
+    def take_slot(self, work: Work, node_id: str) -> Slot:
         """Take the place that was decided."""
         target = self.targets.targets.get(node_id)
         if target is None:
@@ -100,23 +100,23 @@
             )
         return Slot(self, work, target)
 
-    async def wait(self, work: Work) -> Slot:
+    async def wait_in_queue(self, work: Work) -> Slot:
         """Wait in the queue until started, refused or too late."""
         future = asyncio.get_running_loop().create_future()
-        self.waiting[work.id] = future
-        left_s = work.deadline_s - time.monotonic()
+        self.queued_futures[work.id] = future
+        remaining_s = work.deadline_s - time.monotonic()
         longest_s = self.scheduler.times.longest(work)
         try:
-            async with asyncio.timeout(max(0.0, left_s - longest_s)):
+            async with asyncio.timeout(max(0.0, remaining_s - longest_s)):
                 return await future
         except TimeoutError as error:
-            give_back(future)
-            raise too_late() from error
+            release_granted_slot(future)
+            raise queue_deadline_error() from error
         except asyncio.CancelledError:
-            give_back(future)
+            release_granted_slot(future)
             raise
         finally:
-            self.waiting.pop(work.id, None)
+            self.queued_futures.pop(work.id, None)
             self.scheduler.remove(work)
 
     def finish(self, work: Work, ok: bool) -> None:
@@ -126,17 +126,17 @@
 
     def start_queued(self) -> None:
         """Start queued requests while there is room."""
-        if not self.waiting or self.entry is None:
+        if not self.queued_futures or self.entry is None:
             return
         limit = self.entry.limits.in_flight
         for start in self.scheduler.start_queued(self.views, limit, time.monotonic()):
-            future = self.waiting.get(start.work.id)
+            future = self.queued_futures.get(start.work.id)
             if future is None or future.done():
                 self.scheduler.finish(start.work.id, False, time.monotonic())
             elif start.node_id is None:
-                future.set_exception(too_late())
+                future.set_exception(queue_deadline_error())
             else:
-                future.set_result(self.slot(start.work, start.node_id))
+                future.set_result(self.take_slot(start.work, start.node_id))
 
     def sweep(self) -> None:
         """Look for slow targets and for room that others left."""
@@ -145,13 +145,13 @@
         self.start_queued()
 
 
-def give_back(future: asyncio.Future) -> None:
+def release_granted_slot(future: asyncio.Future) -> None:
     """Release a place that was given in the moment its waiter gave up."""
     if future.done() and not future.cancelled() and not future.exception():
         future.result().release(ok=False, cancelled=True)
 
 
-def too_late() -> RequestError:
+def queue_deadline_error() -> RequestError:
     """Make the error of a queued request that can't be in time any more."""
     return RequestError(
         ResultCode.OVERLOADED, "its place in the queue came too late", RETRY_AFTER_MS
@@ -172,8 +172,8 @@
     def __init__(self, targets: Targets, rng: random.Random):
         self.targets = targets
         self.rng = rng
-        self.pools: dict[str, Pool] = {}
-        self.numbers = itertools.count(1)
+        self.pools: dict[str, ServicePool] = {}
+        self.work_ids = itertools.count(1)
 
     async def acquire(
         self, request: CallerRequest, avoid: set[str], version: str = ""
@@ -190,9 +190,9 @@
         entry = request.entry
         pool = self.pools.get(entry.service)
         if pool is None:
-            pool = self.pools[entry.service] = Pool(self.targets, self.rng)
+            pool = self.pools[entry.service] = ServicePool(self.targets, self.rng)
         work = Work(
-            next(self.numbers),
+            next(self.work_ids),
             request.account,
             entry.name,
             entry.priority,
@@ -201,9 +201,9 @@
         )
         return await pool.acquire(work, entry, avoid, version)
 
-    async def run(self) -> None:
+    async def sweep_forever(self) -> None:
         """Sweep for ever."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             for pool in self.pools.values():
                 pool.sweep()
--- a/src/wisteriapulley/entry/request.py
+++ b/src/wisteriapulley/entry/request.py
@@ -22,7 +22,7 @@
 SERVICE_PREFIX = "/services/"
 MAX_NUMBER_CHARACTERS = 19
 # What engines make when the body does not say.
-DEFAULT_TOKENS = 16
+DEFAULT_MAX_TOKENS = 16
 MAX_KEY_CHARACTERS = 255
 MAX_ACCOUNT_CHARACTERS = 128
 # Longest deadline a caller may ask for; as the longest expiry of a key.
@@ -31,7 +31,7 @@
 # so a non-idempotent class takes only the methods that it never repeats.
 KEYED_METHODS = ("POST", "PATCH")
 PRINTABLE = re.compile(r"[!-~]+")
-FORWARDED = ("Content-Type", "Accept")
+FORWARDED_HEADERS = ("Content-Type", "Accept")
 
 
 class CallerRequest(NamedTuple):
@@ -190,7 +190,7 @@
     """
     if request.path == COMPLETIONS_PATH:
         fields = parse_model(body)
-        units = float(fields.max_tokens or DEFAULT_TOKENS)
+        units = float(fields.max_tokens or DEFAULT_MAX_TOKENS)
         return find_entry(fields.model, entries), COMPLETIONS_PATH, units
     raw_path = request.rel_url.raw_path
     name, _, rest = raw_path.removeprefix(SERVICE_PREFIX).partition("/")
@@ -219,7 +219,7 @@
     key, expires_ms = parse_key(request, entry, time.time_ns() // 1_000_000)
     headers = tuple(
         (name, request.headers[name])
-        for name in FORWARDED
+        for name in FORWARDED_HEADERS
         if request.headers.get(name, "").isascii() and name in request.headers
     )
     return CallerRequest(
--- a/src/wisteriapulley/entry/service.py
+++ b/src/wisteriapulley/entry/service.py
@@ -11,10 +11,10 @@
 
 from wisteriapulley.control.client import ControlClient
 from wisteriapulley.entry.answer import Answer
-from wisteriapulley.entry.body import BodyBudget, HeldBody
+from wisteriapulley.entry.at_most_once import AtMostOnceRunner
+from wisteriapulley.entry.body import BodyBudget, BufferedBody
 from wisteriapulley.entry.dispatch import Dispatcher
 from wisteriapulley.entry.metrics import EntryMetrics
-from wisteriapulley.entry.once import OnceRunner
 from wisteriapulley.entry.placing import Placer
 from wisteriapulley.entry.request import (
     COMPLETIONS_PATH,
@@ -41,10 +41,10 @@
 log = logging.getLogger(__name__)
 
 RETRY_AFTER_MS = 1000
-UNAVAILABLE = 503
+HTTP_UNAVAILABLE = 503
 EVENT_STREAM = "text/event-stream"
 # How long a caller that does not read may hold up the end of its answer.
-ERROR_EVENT_S = 1.0
+ERROR_EVENT_TIMEOUT_S = 1.0
 
 
 class EntryService(aiomisc.Service):
@@ -60,7 +60,7 @@
         super().__init__()
         self.settings = settings
         self.metrics = Metrics(settings.node_id, "entry")
-        self.measured = EntryMetrics(self.metrics)
+        self.request_metrics = EntryMetrics(self.metrics)
         self.bodies = BodyBudget()
         self.admission = Admission()
         self.leaving = False
@@ -92,7 +92,7 @@
         rng = random.Random(f"{settings.node_id}{self.incarnation}")
         self.placer = Placer(self.targets, rng)
         self.dispatcher = Dispatcher(self.placer)
-        self.once = OnceRunner(self.dispatcher, self.control)
+        self.at_most_once = AtMostOnceRunner(self.dispatcher, self.control)
         routes = [
             web.post(COMPLETIONS_PATH, self.serve),
             web.route("*", SERVICE_PREFIX + "{name}/{rest:.*}", self.serve),
@@ -112,7 +112,9 @@
             )
         )
         self.control.start()
-        self.sweeping = asyncio.get_running_loop().create_task(self.placer.run())
+        self.sweep_task = asyncio.get_running_loop().create_task(
+            self.placer.sweep_forever()
+        )
 
     async def stop(self, exception: Exception | None = None) -> None:
         """Take no new request, finish those in progress, then close."""
@@ -122,7 +124,7 @@
                 await self.idle.wait()
         except TimeoutError:
             log.error("requests were still running after drain_ms")
-        self.sweeping.cancel()
+        self.sweep_task.cancel()
         await self.http.stop()
         await self.targets.stop()
         await self.control.stop()
@@ -166,24 +168,24 @@
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
         """Serve one caller."""
-        self.enter()
+        self.request_started()
         started_s = time.monotonic()
         caller = None
         code = ResultCode.OK
-        held = HeldBody(self.bodies, self.settings.max_body_bytes)
+        body_buffer = BufferedBody(self.bodies, self.settings.max_body_bytes)
         try:
             self.check_ready()
-            body = await held.read(request)
+            body = await body_buffer.read(request)
             entries = self.control.holder.image.entries
             caller = parse_request(request, body, entries)
             return await self.answer(request, caller, started_s)
         except WisteriapulleyError as error:
             code = error.code
-            return error_response(come_back(error))
+            return error_response(with_retry_after(error))
         finally:
-            held.release()
-            self.leave()
-            self.record(caller, code, started_s)
+            body_buffer.release()
+            self.request_ended()
+            self.record_request(caller, code, started_s)
 
     def check_ready(self) -> None:
         """Refuse while this entry may not take work."""
@@ -196,14 +198,14 @@
     ) -> web.StreamResponse:
         """Admit, dispatch, and pass the answer on."""
         answer = await self.run(caller, started_s)
-        self.measured.head_came(
+        self.request_metrics.record_first_part(
             caller.account,
             caller.entry.traffic_class,
             time.monotonic() - started_s,
         )
         try:
             async with aclosing(answer.parts):
-                return await self.pass_on(request, caller, answer)
+                return await self.forward(request, caller, answer)
         finally:
             answer.abandon()
 
@@ -216,16 +218,16 @@
         except RequestError as error:
             if not caller.key:
                 raise
-            return await self.once.refuse(caller, error)
+            return await self.at_most_once.follow_or_refuse(caller, error)
         if caller.key:
-            return await self.once.run(caller)
+            return await self.at_most_once.run(caller)
         return await self.dispatcher.run(caller)
 
-    async def pass_on(
+    async def forward(
         self, request: web.Request, caller: CallerRequest, answer: Answer
     ) -> web.StreamResponse:
         """Write the answer; a cut one ends with an aborted connection."""
-        response = self.response(caller, answer.head)
+        response = self.make_response(caller, answer.head)
         await response.prepare(request)
         try:
             async with asyncio.timeout(max(0.001, caller.remaining_s)):
@@ -233,17 +235,17 @@
                     await response.write(part)
                 await response.write_eof()
         except TimeoutError as error:
-            late = RequestError(
+            timeout_error = RequestError(
                 ResultCode.DEADLINE_EXCEEDED, "while the answer was on its way"
             )
-            await self.cut(request, caller, response, late)
-            raise late from error
+            await self.abort_response(request, caller, response, timeout_error)
+            raise timeout_error from error
         except WisteriapulleyError as error:
-            await self.cut(request, caller, response, error)
+            await self.abort_response(request, caller, response, error)
             raise
         return response
 
-    def response(
+    def make_response(
         self, caller: CallerRequest, head: messages.AnswerHead
     ) -> web.StreamResponse:
         """Make the response that carries an answer."""
@@ -256,7 +258,7 @@
         # byte, before the end mark has vouched for it. The last chunk comes after.
         return response
 
-    async def cut(
+    async def abort_response(
         self,
         request: web.Request,
         caller: CallerRequest,
@@ -273,7 +275,7 @@
         if response.content_type == EVENT_STREAM:
             event = b"event: error\ndata: " + error_body(error) + b"\n\n"
             try:
-                async with asyncio.timeout(ERROR_EVENT_S):
+                async with asyncio.timeout(ERROR_EVENT_TIMEOUT_S):
                     await response.write(event)
             except (TimeoutError, ConnectionError):
                 log.info("the caller reads no error event")
@@ -281,24 +283,26 @@
             # Closing still sends what was written, without the last chunk.
             request.transport.close()
 
-    def enter(self) -> None:
+    def request_started(self) -> None:
         """Count a request in."""
         self.running += 1
         self.idle.clear()
 
-    def leave(self) -> None:
+    def request_ended(self) -> None:
         """Count a request out."""
         self.running -= 1
         if self.running == 0:
             self.idle.set()
 
-    def record(
+    def record_request(
         self, caller: CallerRequest | None, code: ResultCode, started_s: float
     ) -> None:
         """Count and log a request's end."""
         account = caller.account if caller is not None else ""
         kind = caller.entry.traffic_class if caller is not None else ""
-        self.measured.answered(account, kind, int(code), time.monotonic() - started_s)
+        self.request_metrics.record_response(
+            account, kind, int(code), time.monotonic() - started_s
+        )
         log.info(
             "request",
             extra=fields(
@@ -311,8 +315,11 @@
         )
 
 
-def come_back(error: WisteriapulleyError) -> WisteriapulleyError:
+def with_retry_after(error: WisteriapulleyError) -> WisteriapulleyError:
     """Say when to come back if the error, a lost link's perhaps, does not."""
-    if CODE_TABLE[error.code].http_status == UNAVAILABLE and not error.retry_after_ms:
+    if (
+        CODE_TABLE[error.code].http_status == HTTP_UNAVAILABLE
+        and not error.retry_after_ms
+    ):
         return RequestError(error.code, error.message, RETRY_AFTER_MS)
     return error
--- a/src/wisteriapulley/entry/targets.py
+++ b/src/wisteriapulley/entry/targets.py
@@ -15,11 +15,11 @@
 from wisteriapulley.wire.keeper import LinkKeeper
 
 # New work stops after this many heartbeats without a frame.
-QUIET_BEATS = 2.0
+UNRESPONSIVE_AFTER_HEARTBEATS = 2.0
 # A link opened to ask about a claim is kept this long, for its answer.
-ASKED_KEEP_S = 30.0
+CLAIM_LINK_IDLE_S = 30.0
 # A starting entry may know a claim's target before control named it here.
-STARTING_S = 3.0
+STARTUP_GRACE_S = 3.0
 
 
 class Target:
@@ -50,16 +50,16 @@
         self.in_flight = 0
         self.in_flight_at_report = 0
         self.peak = 0
-        self.gone = False
-        self.displaced = False
-        self.asked_s = 0.0
+        self.unlisted = False
+        self.outside_subset = False
+        self.last_queried_s = 0.0
 
     @property
     def link(self) -> Link | None:
         """The open link, if there is one."""
         return self.keeper.open_link
 
-    def take(self) -> None:
+    def add_request(self) -> None:
         """Count a request of this entry in."""
         self.in_flight += 1
         self.peak = max(self.peak, self.in_flight)
@@ -73,12 +73,12 @@
             self.in_flight_at_report,
         )
 
-    def is_quiet(self, quiet_s: float) -> bool:
+    def is_unresponsive(self, silence_limit_s: float) -> bool:
         """Tell whether nothing came from it for so long."""
         silence_s = asyncio.get_running_loop().time() - self.link.last_received
-        return silence_s > quiet_s
+        return silence_s > silence_limit_s
 
-    def serves(self, entry: Entry, version: str = "") -> bool:
+    def accepts(self, entry: Entry, version: str = "") -> bool:
         """Tell whether it takes requests of an entry, by its own heartbeats.
 
         Whichever accepted version it is open with will do: while hundreds of
@@ -92,21 +92,21 @@
             The only version that will do, for the rest of a cut answer.
         """
         link = self.link
-        if link is None or self.member.leaving or self.displaced:
+        if link is None or self.member.leaving or self.outside_subset:
             return False
-        beat = link.peer_heartbeat
-        if beat.state != "open" or beat.leaving:
+        heartbeat = link.peer_heartbeat
+        if heartbeat.state != "open" or heartbeat.leaving:
             return False
         if version:
-            return beat.version == version
-        return bool(beat.version) == bool(entry.version)
+            return heartbeat.version == version
+        return bool(heartbeat.version) == bool(entry.version)
 
-    def is_spent(self, now_s: float) -> bool:
+    def may_close(self, now_s: float) -> bool:
         """Tell whether its link may close."""
-        if self.gone:
+        if self.unlisted:
             return self.link is None and self.in_flight == 0
-        idle = self.in_flight == 0 and now_s - self.asked_s > ASKED_KEEP_S
-        return self.displaced and idle
+        idle = self.in_flight == 0 and now_s - self.last_queried_s > CLAIM_LINK_IDLE_S
+        return self.outside_subset and idle
 
 
 class Targets:
@@ -138,11 +138,11 @@
         What control no longer names is not cut off: control itself may have
         restarted. The link's own heartbeats decide.
         """
-        chosen = dict(self.choose())
+        chosen = dict(self.choose_subset())
         for name, target in tuple(self.targets.items()):
             member = self.control.members.get(name)
-            target.gone = member is None
-            target.displaced = member is not None and name not in chosen
+            target.unlisted = member is None
+            target.outside_subset = member is not None and name not in chosen
             if member is not None and member.address != target.member.address:
                 self.drop(name)
             elif member is not None:
@@ -150,24 +150,24 @@
         for name, member in chosen.items():
             if name not in self.targets:
                 self.add(member)
-        self.collect()
+        self.close_unused()
 
-    def collect(self) -> None:
+    def close_unused(self) -> None:
         """Close the links that nothing needs any more."""
         now_s = time.monotonic()
         for name, target in tuple(self.targets.items()):
-            if target.is_spent(now_s):
+            if target.may_close(now_s):
                 self.drop(name)
 
-    def choose(self) -> Iterator[tuple[str, messages.Announce]]:
+    def choose_subset(self) -> Iterator[tuple[str, messages.Announce]]:
         """Yield the members that this entry links to."""
         services: dict[str, list[messages.Announce]] = {}
         for member in self.control.members.values():
             if member.role == "sidecar":
                 services.setdefault(member.service, []).append(member)
-        me = self.settings.node_id
+        own_id = self.settings.node_id
         for members in services.values():
-            members.sort(key=lambda m: rendezvous(me, m.node_id))
+            members.sort(key=lambda m: rendezvous(own_id, m.node_id))
             for member in members[: self.settings.links_per_service]:
                 yield member.node_id, member
 
@@ -193,9 +193,9 @@
 
     async def link_opened(self, link: Link) -> None:
         """Listen to the heartbeats of a target."""
-        link.on_heartbeat = self.heard
+        link.on_heartbeat = self.observe_heartbeat
 
-    def heard(self, link: Link) -> None:
+    def observe_heartbeat(self, link: Link) -> None:
         """Take in a heartbeat: load as of now, and the target's revision."""
         target = self.targets.get(link.peer_id)
         if target is not None:
@@ -211,19 +211,25 @@
         One that has been quiet may be leaving or cut off without our hearing
         of it, so it gets new work only when all are: then the quiet is ours.
         """
-        quiet_s = QUIET_BEATS * self.settings.heartbeat_ms / 1000
+        silence_limit_s = (
+            UNRESPONSIVE_AFTER_HEARTBEATS * self.settings.heartbeat_ms / 1000
+        )
         open_targets = [
             target
             for name, target in self.targets.items()
             if target.member.service == entry.service
             and name not in avoid
             and name not in entry.leaving
-            and target.serves(entry, version)
+            and target.accepts(entry, version)
+        ]
+        responsive = [
+            target
+            for target in open_targets
+            if not target.is_unresponsive(silence_limit_s)
         ]
-        heard = [target for target in open_targets if not target.is_quiet(quiet_s)]
-        return [target.view() for target in heard or open_targets]
+        return [target.view() for target in responsive or open_targets]
 
-    def link_to(self, name: str, incarnation: int) -> Link | None:
+    def claim_link(self, name: str, incarnation: int) -> Link | None:
         """Return the link to the target of a claim; None while it opens.
 
         Raises
@@ -235,15 +241,15 @@
         target = self.targets.get(name)
         if target is None and member is not None:
             target = self.add(member)
-            target.displaced = True
+            target.outside_subset = True
         link = target.link if target is not None else None
         if target is not None:
-            target.asked_s = time.monotonic()
+            target.last_queried_s = time.monotonic()
         if link is not None:
             if link.peer.incarnation != incarnation:
                 raise RequestError(ResultCode.MAY_HAVE_RUN, f"{name!r} has restarted")
             return link
-        if member is None and time.monotonic() - self.started_s > STARTING_S:
+        if member is None and time.monotonic() - self.started_s > STARTUP_GRACE_S:
             raise RequestError(ResultCode.MAY_HAVE_RUN, f"{name!r} is gone")
         if member is not None and member.incarnation > incarnation:
             raise RequestError(ResultCode.MAY_HAVE_RUN, f"{name!r} has restarted")
--- a/src/wisteriapulley/sidecar/answers.py
+++ b/src/wisteriapulley/sidecar/answers.py
@@ -11,18 +11,18 @@
 from wisteriapulley.wire.flow import Window
 
 PART_BYTES = 1 << 16
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     ("connection", "transfer-encoding", "content-length", "keep-alive", "host", "date")
 )
 VERSION_HEADER = "X-Model-Version"
 
 
-def plain_headers(response: aiohttp.ClientResponse) -> tuple[messages.Header, ...]:
+def end_to_end_headers(response: aiohttp.ClientResponse) -> tuple[messages.Header, ...]:
     """Return the headers that go on to the caller."""
     return tuple(
         messages.Header(name, value)
         for name, value in response.headers.items()
-        if name.lower() not in HOP_HEADERS and value.isprintable()
+        if name.lower() not in HOP_BY_HOP_HEADERS and value.isprintable()
     )
 
 
@@ -38,7 +38,7 @@
     def __init__(self):
         self.windows: dict[tuple[Link, str], Window] = {}
 
-    def grant(self, link: Link, credit: messages.Credit) -> None:
+    def add_credit(self, link: Link, credit: messages.Credit) -> None:
         """Take in a reader's credit; one for a finished answer means nothing."""
         window = self.windows.get((link, credit.request_id))
         if window is not None:
--- a/src/wisteriapulley/sidecar/attempts.py
+++ b/src/wisteriapulley/sidecar/attempts.py
@@ -43,7 +43,7 @@
 DONE = "done"
 TOMBSTONE = "tombstone"
 LOST = "lost"
-MOVES = {
+TRANSITIONS = {
     (source, trigger): target
     for trigger, source, target in load_chart("attempt")["transitions"]
 }
@@ -60,7 +60,7 @@
 
     def fire(self, trigger: str) -> None:
         """Move along the chart; any other move is a fault of the caller."""
-        self.state = MOVES[self.state, trigger]
+        self.state = TRANSITIONS[self.state, trigger]
 
 
 class AttemptTable:
@@ -75,9 +75,11 @@
         Most bytes of kept answers.
     """
 
-    def __init__(self, limit: int = MAX_ATTEMPTS, kept_limit: int = MAX_KEPT_BYTES):
-        self.limit = limit
-        self.kept_limit = kept_limit
+    def __init__(
+        self, max_attempts: int = MAX_ATTEMPTS, max_kept_bytes: int = MAX_KEPT_BYTES
+    ):
+        self.max_attempts = max_attempts
+        self.max_kept_bytes = max_kept_bytes
         self.kept_bytes = 0
         self.attempts: dict[AttemptKey, Attempt] = {}
         self.expiries: list[tuple[float, AttemptKey]] = []
@@ -92,22 +94,22 @@
         RequestError
             It was resolved as not run, is an older one, or ran already.
         """
-        self.forget_expired(now_s)
+        self.drop_expired(now_s)
         if expires_s <= now_s:
             raise RequestError(ResultCode.REQUEST_EXPIRED, "the expiry has passed")
-        self.check_standing(key, number)
+        self.check_may_start(key, number)
         return self.put(key, number, expires_s, "start")
 
-    def check_standing(self, key: AttemptKey, number: int) -> None:
+    def check_may_start(self, key: AttemptKey, number: int) -> None:
         """Refuse a number that was resolved, or that ran or may have."""
-        standing = self.attempts.get(key)
-        if standing is None:
+        current = self.attempts.get(key)
+        if current is None:
             return
-        if standing.state != TOMBSTONE:
+        if current.state != TOMBSTONE:
             raise RequestError(
                 ResultCode.IN_PROGRESS, "an attempt has begun", RETRY_AFTER_MS
             )
-        if standing.number >= number:
+        if current.number >= number:
             raise RequestError(
                 ResultCode.ATTEMPT_TOMBSTONED, "resolved as not run", RETRY_AFTER_MS
             )
@@ -122,13 +124,13 @@
         RequestError
             OVERLOADED: the table is full.
         """
-        standing = self.attempts.get(key)
-        if standing is None and len(self.attempts) >= self.limit:
+        current = self.attempts.get(key)
+        if current is None and len(self.attempts) >= self.max_attempts:
             raise RequestError(
                 ResultCode.OVERLOADED, "the attempt table is full", RETRY_AFTER_MS
             )
-        if standing is not None:
-            expires_s = max(expires_s, standing.expires_s)
+        if current is not None:
+            expires_s = max(expires_s, current.expires_s)
         attempt = self.attempts[key] = Attempt(number, expires_s)
         attempt.fire(trigger)
         heapq.heappush(self.expiries, (expires_s, key))
@@ -142,7 +144,7 @@
         RequestError
             IN_PROGRESS: an attempt of the key began here before.
         """
-        self.check_standing(key, number)
+        self.check_may_start(key, number)
         self.put(key, number, expires_s, "refuse")
 
     def finish(self, attempt: Attempt, answer: KeptAnswer) -> None:
@@ -150,18 +152,16 @@
         attempt.fire("finish")
         attempt.answer = answer
         self.kept_bytes += len(answer.body)
-        self.shed_kept()
+        self.evict_kept_answers()
 
     def resolve(self, key: AttemptKey, number: int, expires_s: float) -> Attempt:
         """Return the attempt; one never seen becomes a tombstone."""
-        standing = self.attempts.get(key)
-        if standing is None or (
-            standing.state == TOMBSTONE and standing.number < number
-        ):
+        current = self.attempts.get(key)
+        if current is None or (current.state == TOMBSTONE and current.number < number):
             return self.put(key, number, expires_s, "resolve")
-        return standing
+        return current
 
-    def forget_expired(self, now_s: float) -> None:
+    def drop_expired(self, now_s: float) -> None:
         """Drop attempts whose requests could not start again."""
         horizon_s = now_s - EXPIRY_MARGIN_S
         while self.expiries and self.expiries[0][0] < horizon_s:
@@ -178,10 +178,10 @@
             if attempt.answer is not None:
                 self.kept_bytes -= len(attempt.answer.body)
 
-    def shed_kept(self) -> None:
+    def evict_kept_answers(self) -> None:
         """Drop the oldest kept bodies beyond the limit."""
         for attempt in self.attempts.values():
-            if self.kept_bytes <= self.kept_limit:
+            if self.kept_bytes <= self.max_kept_bytes:
                 return
             if attempt.answer is not None:
                 self.kept_bytes -= len(attempt.answer.body)
--- a/src/wisteriapulley/sidecar/engine.py
+++ b/src/wisteriapulley/sidecar/engine.py
@@ -11,13 +11,13 @@
 
 from wisteriapulley.errors import ResultCode, WeightsError
 
-ORDER_S = 600.0
-STATE_S = 2.0
+ORDER_TIMEOUT_S = 600.0
+STATE_TIMEOUT_S = 2.0
 # How often an engine is asked while an order is out, and how often it may say
 # that it loads nothing before the order counts as lost.
-WATCH_S = 1.0
-IDLE_POLLS = 3
-CONFLICT = 409
+ORDER_POLL_INTERVAL_S = 1.0
+MAX_IDLE_POLLS = 3
+HTTP_CONFLICT = 409
 
 
 class EngineState(msgspec.Struct, frozen=True):
@@ -31,7 +31,7 @@
     detail: str = ""
 
 
-class Order(NamedTuple):
+class LoadOrder(NamedTuple):
     """Order to load a version from a base URL."""
 
     version: str
@@ -59,7 +59,7 @@
         self.session = session
         self.base_url = base_url.rstrip("/")
         self.fences = fences
-        self.orders = 0
+        self.order_count = 0
 
     async def state(self) -> EngineState:
         """Ask the engine what it serves.
@@ -70,7 +70,7 @@
             The engine does not answer.
         """
         try:
-            async with asyncio.timeout(STATE_S):
+            async with asyncio.timeout(STATE_TIMEOUT_S):
                 url = f"{self.base_url}/control/state"
                 async with self.session.get(url) as response:
                     body = await response.read()
@@ -78,7 +78,7 @@
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.MsgspecError) as e:
             raise WeightsError(ResultCode.TARGET_FAILED, f"{url}: {e!r}") from e
 
-    async def verify(self, version: str, orders: int) -> None:
+    async def verify(self, version: str, order_count: int) -> None:
         """Make sure, after an answer's last byte, that it has one version.
 
         An engine that refuses old orders changes only when the gate has drained
@@ -93,13 +93,13 @@
         if self.fences:
             return
         state = await self.state()
-        if state.version != version or self.orders != orders:
+        if state.version != version or self.order_count != order_count:
             raise WeightsError(
                 ResultCode.ENGINE_WRONG_DIGEST,
                 f"answer of {version}, but the engine now reports {state.version!r}",
             )
 
-    async def load(self, order: Order) -> None:
+    async def load(self, order: LoadOrder) -> None:
         """Order a load and wait until the engine says that it is done.
 
         Raises
@@ -107,48 +107,48 @@
         WeightsError
             ENGINE_FENCED, or ENGINE_LOAD_FAILED with the engine's reason.
         """
-        self.orders += 1
-        post = asyncio.get_running_loop().create_task(self.post_order(order))
+        self.order_count += 1
+        post_task = asyncio.get_running_loop().create_task(self.post_order(order))
         try:
-            await self.watch_order(order, post)
+            await self.watch_order(order, post_task)
         finally:
-            post.cancel()
+            post_task.cancel()
 
-    async def watch_order(self, order: Order, post: asyncio.Task) -> None:
+    async def watch_order(self, order: LoadOrder, post_task: asyncio.Task) -> None:
         """Wait for the answer of an order, or for the state that it asks for.
 
         The connection of the order may go silent for good while the engine goes
         on, so its state is asked on other connections meanwhile.
         """
-        idle = 0
-        while idle < IDLE_POLLS:
-            done, _ = await asyncio.wait({post}, timeout=WATCH_S)
+        idle_polls = 0
+        while idle_polls < MAX_IDLE_POLLS:
+            done, _ = await asyncio.wait({post_task}, timeout=ORDER_POLL_INTERVAL_S)
             if done:
-                return post.result()
+                return post_task.result()
             try:
                 state = await self.state()
             except WeightsError:
                 continue
             if state.version == order.version and state.state == "open":
                 return None
-            idle = 0 if state.state == "loading" else idle + 1
+            idle_polls = 0 if state.state == "loading" else idle_polls + 1
         raise WeightsError(
             ResultCode.ENGINE_LOAD_FAILED,
             f"the order got no answer, and the engine is {state.state!r}",
         )
 
-    async def post_order(self, order: Order) -> None:
+    async def post_order(self, order: LoadOrder) -> None:
         """Send an order and read the engine's answer."""
         url = f"{self.base_url}/control/load"
         try:
-            async with asyncio.timeout(ORDER_S):
+            async with asyncio.timeout(ORDER_TIMEOUT_S):
                 async with self.session.post(url, json=order._asdict()) as response:
                     text = await response.text()
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise WeightsError(
                 ResultCode.ENGINE_LOAD_FAILED, f"{url}: {error!r}"
             ) from error
-        if response.status == CONFLICT:
+        if response.status == HTTP_CONFLICT:
             raise WeightsError(ResultCode.ENGINE_FENCED, text)
         if response.status >= 300:
             raise WeightsError(ResultCode.ENGINE_LOAD_FAILED, text)
@@ -157,7 +157,7 @@
         """Take a request off the engine; one that is gone is fine."""
         url = f"{self.base_url}/control/cancel"
         try:
-            async with asyncio.timeout(STATE_S):
+            async with asyncio.timeout(STATE_TIMEOUT_S):
                 async with self.session.post(url, json={"request_id": request_id}):
                     pass
         except (aiohttp.ClientError, OSError, TimeoutError):
@@ -172,9 +172,9 @@
     ):
         self.session = session
         self.base_url = base_url.rstrip("/")
-        self.orders = 0
+        self.order_count = 0
 
-    async def verify(self, version: str, orders: int) -> None:
+    async def verify(self, version: str, order_count: int) -> None:
         """Do nothing: it has no weights that could change."""
 
     async def state(self) -> EngineState:
@@ -187,7 +187,7 @@
         """
         url = f"{self.base_url}/health"
         try:
-            async with asyncio.timeout(STATE_S):
+            async with asyncio.timeout(STATE_TIMEOUT_S):
                 async with self.session.get(url) as response:
                     await response.read()
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
--- a/src/wisteriapulley/sidecar/gate.py
+++ b/src/wisteriapulley/sidecar/gate.py
@@ -23,7 +23,7 @@
 from wisteriapulley.sidecar.answers import (
     VERSION_HEADER,
     AnswerSender,
-    plain_headers,
+    end_to_end_headers,
     read_bounded,
 )
 from wisteriapulley.sidecar.attempts import (
@@ -47,14 +47,14 @@
 REQUEST_ID_HEADER = "X-Request-Id"
 RESUME_HEADER = "X-Resume-From"
 UNKNOWN = "unknown"
-FAILURES = (aiohttp.ClientError, OSError, TimeoutError, WisteriapulleyError)
+TARGET_ERRORS = (aiohttp.ClientError, OSError, TimeoutError, WisteriapulleyError)
 
 
-class Served(NamedTuple):
+class EngineSnapshot(NamedTuple):
     """What the engine served when a request began: version and orders so far."""
 
     version: str
-    orders: int
+    order_count: int
 
 
 class Gate:
@@ -82,8 +82,8 @@
         self.idle = asyncio.Event()
         self.idle.set()
         self.tasks: dict[str, asyncio.Task] = {}
-        self.keyed: set[asyncio.Task] = set()
-        self.finished: dict[AttemptKey, asyncio.Event] = {}
+        self.background_tasks: set[asyncio.Task] = set()
+        self.finished_events: dict[AttemptKey, asyncio.Event] = {}
 
     # -- frames ----------------------------------------------------------
 
@@ -113,8 +113,8 @@
             raise RequestError(
                 ResultCode.GATE_CLOSED, "the sidecar has restarted", RETRY_AFTER_MS
             )
-        other = message.version not in ("", self.version)
-        if self.chart.state != "open" or other:
+        is_other_version = message.version not in ("", self.version)
+        if self.chart.state != "open" or is_other_version:
             raise RequestError(
                 ResultCode.GATE_CLOSED,
                 f"the target is {self.chart.state} with {self.version[:12]!r}",
@@ -131,16 +131,18 @@
 
     def receive_credit(self, link: Link, message: messages.Credit) -> None:
         """Let more of an answer go to a reader that has consumed some."""
-        self.sender.grant(link, message)
+        self.sender.add_credit(link, message)
 
     async def receive_resolve(
         self, link: Link, message: messages.Resolve, frame: Frame
     ) -> None:
         """Say what became of an attempt; then send its answer, if it has one."""
         now_s = time.monotonic()
-        expires_s = expiry_s(message.expires_in_ms, message.expires_at_ms, now_s)
-        forgotten = expires_s + EXPIRY_MARGIN_S <= now_s
-        if message.incarnation != self.incarnation or forgotten:
+        expires_s = monotonic_expiry_s(
+            message.expires_in_ms, message.expires_at_ms, now_s
+        )
+        has_expired = expires_s + EXPIRY_MARGIN_S <= now_s
+        if message.incarnation != self.incarnation or has_expired:
             link.post(messages.Resolution(UNKNOWN), reply_to=frame.id)
             return
         key = AttemptKey(message.account, message.idempotency_key)
@@ -157,51 +159,55 @@
         """Run a non-idempotent request to its end, whatever the link does."""
         key = AttemptKey(message.account, message.idempotency_key)
         now_s = time.monotonic()
-        expires_s = expiry_s(message.expires_in_ms, message.expires_at_ms, now_s)
+        expires_s = monotonic_expiry_s(
+            message.expires_in_ms, message.expires_at_ms, now_s
+        )
         try:
             self.check_open(message)
         except RequestError:
             self.attempts.refuse(key, message.attempt, expires_s)
             raise
         attempt = self.attempts.start(key, message.attempt, expires_s, now_s)
-        self.finished[key] = asyncio.Event()
+        self.finished_events[key] = asyncio.Event()
         task = asyncio.get_running_loop().create_task(
-            self.run_to_end(message, frame.body, key, attempt)
+            self.run_and_keep(message, frame.body, key, attempt)
         )
-        self.keyed.add(task)
-        task.add_done_callback(self.keyed.discard)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
         await self.send_attempt(link, message.request_id, frame, key, attempt)
 
-    async def run_to_end(
+    async def run_and_keep(
         self, message: messages.Dispatch, body: bytes, key: AttemptKey, attempt: Attempt
     ) -> None:
         """Run at the target and keep the whole answer.
 
         It may outlast the caller's deadline: a resend then gets its answer.
         """
-        with self.entered():
+        with self.count_running():
             try:
-                answer = await self.run_whole(message, body)
+                answer = await self.run_buffered(message, body)
                 self.attempts.finish(attempt, answer)
             except aiohttp.ClientConnectorError as error:
                 # No connection was made, so no byte of it reached the target.
                 log.warning("keyed request %s: %r", message.request_id, error)
                 attempt.fire("not_begun")
-            except FAILURES as error:
+            except TARGET_ERRORS as error:
                 log.warning("keyed request %s: %r", message.request_id, error)
             finally:
                 if attempt.state == RUNNING:
                     attempt.fire("lose")
-                self.finished.pop(key).set()
+                self.finished_events.pop(key).set()
 
-    async def run_whole(self, message: messages.Dispatch, body: bytes) -> KeptAnswer:
+    async def run_buffered(self, message: messages.Dispatch, body: bytes) -> KeptAnswer:
         """Run at the target and read the whole answer."""
         timeout_ms = max(message.remaining_ms, message.expires_in_ms)
-        served = Served(self.version, self.engine.orders)
-        async with self.open_target(message, body, timeout_ms) as response:
-            data = await read_bounded(response, MAX_KEPT_ANSWER_BYTES, too_long)
-            await self.check_version(served)
-            headers = tuple(tuple(header) for header in plain_headers(response))
+        snapshot = EngineSnapshot(self.version, self.engine.order_count)
+        async with self.open_request(message, body, timeout_ms) as response:
+            data = await read_bounded(
+                response, MAX_KEPT_ANSWER_BYTES, answer_too_long_error
+            )
+            await self.check_version(snapshot)
+            headers = tuple(tuple(header) for header in end_to_end_headers(response))
             version = response.headers.get(VERSION_HEADER, "")
             return KeptAnswer(response.status, headers, version, data)
 
@@ -214,10 +220,10 @@
         attempt: Attempt,
     ) -> None:
         """Wait for an attempt's end and send its kept answer."""
-        waiter = self.finished.get(key)
-        with self.sent():
-            if waiter is not None:
-                await waiter.wait()
+        finished = self.finished_events.get(key)
+        with self.count_sending():
+            if finished is not None:
+                await finished.wait()
             if attempt.state == TOMBSTONE:
                 raise RequestError(
                     ResultCode.GATE_CLOSED, "the target takes no call", RETRY_AFTER_MS
@@ -234,11 +240,11 @@
         self, link: Link, message: messages.Dispatch, frame: Frame
     ) -> None:
         """Run an idempotent request and pass its answer on as it comes."""
-        whole = False
+        completed = False
         try:
-            with self.entered():
+            with self.count_running():
                 await self.stream(link, message, frame)
-            whole = True
+            completed = True
         except TimeoutError as error:
             raise RequestError(
                 ResultCode.DEADLINE_EXCEEDED, "the deadline passed at the target"
@@ -246,43 +252,43 @@
         except (aiohttp.ClientError, OSError) as error:
             raise RequestError(ResultCode.ANSWER_CUT, repr(error)) from error
         finally:
-            if not whole:
+            if not completed:
                 # Given up, cut or timed out: it must not go on using the engine.
                 task = asyncio.get_running_loop().create_task(
                     self.engine.cancel(message.request_id)
                 )
-                self.keyed.add(task)
-                task.add_done_callback(self.keyed.discard)
+                self.background_tasks.add(task)
+                task.add_done_callback(self.background_tasks.discard)
 
     async def stream(
         self, link: Link, message: messages.Dispatch, frame: Frame
     ) -> None:
         """Send head, parts and end mark of the target's answer."""
-        served = Served(self.version, self.engine.orders)
-        async with self.open_target(
+        snapshot = EngineSnapshot(self.version, self.engine.order_count)
+        async with self.open_request(
             message, frame.body, message.remaining_ms
         ) as response:
             length = response.content_length
             head = messages.AnswerHead(
                 message.request_id,
                 response.status,
-                plain_headers(response),
+                end_to_end_headers(response),
                 response.headers.get(VERSION_HEADER, ""),
                 length if length is not None else -1,
             )
             link.post(head, reply_to=frame.id)
-            parts = self.checked_parts(served, response)
+            parts = self.checked_parts(snapshot, response)
             await self.sender.send_parts(link, message.request_id, frame, parts)
 
     async def checked_parts(
-        self, served: Served, response: aiohttp.ClientResponse
+        self, snapshot: EngineSnapshot, response: aiohttp.ClientResponse
     ) -> AsyncIterator[bytes]:
         """Yield the body; raise before its end if the version changed under it."""
         async for data in response.content.iter_any():
             yield data
-        await self.check_version(served)
+        await self.check_version(snapshot)
 
-    async def check_version(self, served: Served) -> None:
+    async def check_version(self, snapshot: EngineSnapshot) -> None:
         """Check that the engine still serves what a request began with.
 
         An engine that ignores fencing may have taken an old order while the
@@ -294,14 +300,14 @@
             ENGINE_WRONG_DIGEST: the answer must not count as whole.
         """
         try:
-            await self.engine.verify(served.version, served.orders)
+            await self.engine.verify(snapshot.version, snapshot.order_count)
         except WeightsError:
             if self.chart.can("lose"):
                 self.chart.fire("lose")
                 self.version = ""
             raise
 
-    def open_target(self, message: messages.Dispatch, body: bytes, timeout_ms: int):
+    def open_request(self, message: messages.Dispatch, body: bytes, timeout_ms: int):
         """Open the request at the target."""
         headers = {header.name: header.value for header in message.headers}
         headers["Accept-Encoding"] = "identity"
@@ -325,7 +331,7 @@
     # -- draining --------------------------------------------------------
 
     @contextmanager
-    def entered(self):
+    def count_running(self):
         """Count a request as load of the target while the block runs."""
         self.running += 1
         self.idle.clear()
@@ -333,10 +339,10 @@
             yield
         finally:
             self.running -= 1
-            self.check_idle()
+            self.update_idle()
 
     @contextmanager
-    def sent(self):
+    def count_sending(self):
         """Count an answer that has still to go out; it is no load."""
         self.sending += 1
         self.idle.clear()
@@ -344,9 +350,9 @@
             yield
         finally:
             self.sending -= 1
-            self.check_idle()
+            self.update_idle()
 
-    def check_idle(self) -> None:
+    def update_idle(self) -> None:
         """Say when nothing runs and no answer is still to go out."""
         if self.running == 0 and self.sending == 0:
             self.idle.set()
@@ -356,19 +362,19 @@
         await self.idle.wait()
 
 
-def expiry_s(expires_in_ms: int, expires_at_ms: int, now_s: float) -> float:
+def monotonic_expiry_s(expires_in_ms: int, expires_at_ms: int, now_s: float) -> float:
     """Return the monotonic time of an expiry.
 
     A frame may wait in a stopped process for longer than its expiry, and its
     relative time would then start anew: the absolute one ends it.
     """
-    left_ms = expires_in_ms
+    remaining_ms = expires_in_ms
     if expires_at_ms:
-        left_ms = min(left_ms, expires_at_ms - time.time_ns() // 1_000_000)
-    return now_s + left_ms / 1000
+        remaining_ms = min(remaining_ms, expires_at_ms - time.time_ns() // 1_000_000)
+    return now_s + remaining_ms / 1000
 
 
-def too_long() -> RequestError:
+def answer_too_long_error() -> RequestError:
     """Make the error of an answer that is too long to keep."""
     return RequestError(
         ResultCode.ANSWER_CUT,
--- a/src/wisteriapulley/sidecar/neighbours.py
+++ b/src/wisteriapulley/sidecar/neighbours.py
@@ -12,7 +12,7 @@
 from wisteriapulley.wire.link import Handler
 
 
-class LiveMeter:
+class RequestTrafficMeter:
     """Counts the bytes of links that carry no weights."""
 
     def __init__(self):
@@ -29,7 +29,7 @@
             self.links.discard(link)
             self.closed_bytes += link.bytes_sent + link.bytes_received
 
-    def total(self) -> int:
+    def total_bytes(self) -> int:
         """Return the bytes so far, up and down."""
         open_bytes = sum(ln.bytes_sent + ln.bytes_received for ln in self.links)
         return self.closed_bytes + open_bytes
@@ -61,20 +61,20 @@
         swarm: Swarm,
         handler: Handler,
         heartbeat: Callable[[], messages.Heartbeat],
-        heard: Callable[[Link], None],
-        meter: LiveMeter,
+        on_heartbeat: Callable[[Link], None],
+        meter: RequestTrafficMeter,
     ):
         self.settings = settings
         self.identity = identity
         self.swarm = swarm
         self.handler = handler
         self.heartbeat = heartbeat
-        self.heard = heard
+        self.on_heartbeat = on_heartbeat
         self.meter = meter
         self.keepers: dict[str, tuple[str, LinkKeeper]] = {}
         self.stopping: set[asyncio.Task] = set()
 
-    def update(self, announced: dict[str, messages.Announce]) -> None:
+    def update_members(self, announced: dict[str, messages.Announce]) -> None:
         """Take part with those who are announced, and link to some of them."""
         members = {
             name: member
@@ -87,14 +87,14 @@
             return
         chosen = choose_neighbours(self.swarm.me, peers, self.settings.neighbours)
         self.swarm.neighbour_count = len(chosen)
-        wanted = {name: members[name].address for name in chosen}
+        desired_addresses = {name: members[name].address for name in chosen}
         for name, (address, _) in tuple(self.keepers.items()):
-            if wanted.get(name) != address:
-                self.drop(name)
-        for name in wanted.keys() - self.keepers.keys():
-            self.keep(name, wanted[name])
+            if desired_addresses.get(name) != address:
+                self.drop_keeper(name)
+        for name in desired_addresses.keys() - self.keepers.keys():
+            self.add_keeper(name, desired_addresses[name])
 
-    def keep(self, name: str, address: str) -> None:
+    def add_keeper(self, name: str, address: str) -> None:
         """Start keeping a link."""
         keeper = LinkKeeper(
             [Address.from_text(address)],
@@ -102,32 +102,32 @@
             self.handler,
             self.heartbeat,
             self.settings,
-            self.connected,
+            self.link_connected,
         )
         self.keepers[name] = (address, keeper)
         keeper.start()
 
-    def drop(self, name: str) -> None:
+    def drop_keeper(self, name: str) -> None:
         """Stop keeping a link."""
         _, keeper = self.keepers.pop(name)
         task = asyncio.get_running_loop().create_task(keeper.stop())
         self.stopping.add(task)
         task.add_done_callback(self.stopping.discard)
 
-    async def connected(self, link: Link) -> None:
+    async def link_connected(self, link: Link) -> None:
         """Take in a link that this instance opened."""
-        link.on_close = self.closed
-        self.opened(link)
+        link.on_close = self.link_closed
+        self.link_opened(link)
 
-    def opened(self, link: Link) -> None:
+    def link_opened(self, link: Link) -> None:
         """Take in a link, whoever opened it."""
-        link.on_heartbeat = self.heard
+        link.on_heartbeat = self.on_heartbeat
         if link.peer.role == "sidecar":
             self.swarm.add_link(link)
         else:
             self.meter.add(link)
 
-    def closed(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         """Forget a closed link."""
         self.swarm.drop_link(link)
         self.meter.drop(link)
--- a/src/wisteriapulley/sidecar/service.py
+++ b/src/wisteriapulley/sidecar/service.py
@@ -14,8 +14,8 @@
 from wisteriapulley.settings import SidecarSettings
 from wisteriapulley.sidecar.engine import ModelEngine, PlainService
 from wisteriapulley.sidecar.gate import Gate
-from wisteriapulley.sidecar.neighbours import LiveMeter, Neighbours
-from wisteriapulley.sidecar.switch import Switcher
+from wisteriapulley.sidecar.neighbours import Neighbours, RequestTrafficMeter
+from wisteriapulley.sidecar.switch import VersionSwitcher
 from wisteriapulley.sidecar.weights_http import PREFIX, WeightsHandlers
 from wisteriapulley.statechart import StateChart
 from wisteriapulley.weights.chunk_store import ChunkStore
@@ -45,7 +45,7 @@
         self.chart = StateChart("target")
         self.leaving = False
         self.sequence = 0
-        self.meter = LiveMeter()
+        self.meter = RequestTrafficMeter()
         self.tasks: list[asyncio.Task] = []
 
     @classmethod
@@ -66,14 +66,17 @@
         adapter = ModelEngine if settings.kind == "engine" else PlainService
         self.engine = adapter(self.session, settings.target_url, settings.fences)
         self.gate = Gate(self.engine, self.incarnation, self.chart)
-        budget = LinkBudget(settings.link_bytes_per_s, self.meter.total)
-        share = LinkBudget(settings.origin_bytes_per_s)
+        budget = LinkBudget(settings.link_bytes_per_s, self.meter.total_bytes)
+        origin_budget = LinkBudget(settings.origin_bytes_per_s)
         self.swarm = Swarm(
             Peer(settings.node_id, settings.failure_domain),
             ChunkStore.from_settings(
                 settings.scratch_folder, settings.chunk_store_bytes
             ),
-            [HttpSource(self.session, u, budget, share) for u in self.source_urls()],
+            [
+                HttpSource(self.session, u, budget, origin_budget)
+                for u in self.source_urls()
+            ],
             budget,
             settings.patience_ms,
         )
@@ -95,7 +98,7 @@
             self.meter,
         )
         await self.listen()
-        self.switcher = Switcher(
+        self.switcher = VersionSwitcher(
             settings,
             self.control,
             self.gate,
@@ -122,8 +125,8 @@
             settings.heartbeat_ms,
             settings.silence_ms,
         )
-        self.server.on_open = self.neighbours.opened
-        self.server.on_close = self.neighbours.closed
+        self.server.on_open = self.neighbours.link_opened
+        self.server.on_close = self.neighbours.link_closed
         self.wire_address = await self.server.start(settings.wire_listen)
         self.http = HttpServer(
             self.metrics, self.is_ready, WeightsHandlers(self.swarm).routes()
@@ -189,12 +192,12 @@
 
     def state_changed(self) -> None:
         """Tell entries and control of a new state."""
-        beat = self.heartbeat()
-        if beat[:4] != getattr(self, "last_beat", beat[:3])[:4]:
+        heartbeat = self.heartbeat()
+        if heartbeat[:4] != getattr(self, "last_heartbeat", heartbeat[:3])[:4]:
             self.server.beat()
-        self.last_beat = beat
-        entry = self.switcher.desired()
-        copy = self.swarm.copy
+        self.last_heartbeat = heartbeat
+        entry = self.switcher.desired_entry()
+        download = self.swarm.copy
         self.control.send_report(
             messages.Report(
                 self.settings.node_id,
@@ -204,8 +207,8 @@
                 self.chart.state,
                 self.gate.version,
                 entry.version if entry is not None else "",
-                copy.bytes_shown if copy is not None else 0,
-                copy.manifest.size if copy is not None else 0,
+                download.bytes_shown if download is not None else 0,
+                download.manifest.size if download is not None else 0,
                 self.switcher.detail,
                 "sidecar",
                 self.incarnation,
@@ -214,12 +217,12 @@
 
     def catalogue_changed(self) -> None:
         """Report the new revision at once, and act on it."""
-        self.switcher.changed.set()
+        self.switcher.catalogue_changed.set()
         self.state_changed()
 
     def members_changed(self) -> None:
         """Link to this instance's neighbours."""
-        self.neighbours.update(self.control.members)
+        self.neighbours.update_members(self.control.members)
 
     # -- frames ----------------------------------------------------------
 
--- a/src/wisteriapulley/sidecar/switch.py
+++ b/src/wisteriapulley/sidecar/switch.py
@@ -11,51 +11,57 @@
 from wisteriapulley.errors import ResultCode, WeightsError, WisteriapulleyError
 from wisteriapulley.logs import fields
 from wisteriapulley.settings import SidecarSettings
-from wisteriapulley.sidecar.engine import EngineState, Order
+from wisteriapulley.sidecar.engine import EngineState, LoadOrder
 from wisteriapulley.sidecar.gate import Gate
 from wisteriapulley.weights.swarm import Swarm
 
 log = logging.getLogger(__name__)
 
-POLL_S = 0.25
-FAILED_S = 2.0
+RECONCILE_INTERVAL_S = 0.25
+FAILURE_BACKOFF_S = 2.0
 # 820 sidecars ask for permits at once and each answer is a log record: whoever
 # is denied asks again later and later, and not in step with the others.
-DENIED_FIRST_S = 0.2
-DENIED_MOST_S = 3.0
+PERMIT_BACKOFF_MIN_S = 0.2
+PERMIT_BACKOFF_MAX_S = 3.0
 # A version that an engine fails to load is tried again ever more seldom: each
 # try takes the target out of service.
-BACKOFF_FIRST_S = 5.0
-BACKOFF_MOST_S = 300.0
+LOAD_BACKOFF_MIN_S = 5.0
+LOAD_BACKOFF_MAX_S = 300.0
 # Control is away: an order that changes nothing needs no permit.
-AWAY = (ResultCode.NO_QUORUM, ResultCode.LINK_CLOSED, ResultCode.LINK_TIMEOUT)
+CONTROL_UNREACHABLE_CODES = (
+    ResultCode.NO_QUORUM,
+    ResultCode.LINK_CLOSED,
+    ResultCode.LINK_TIMEOUT,
+)
 
 
-class Setback:
+class LoadBackoff:
     """A version that this engine failed to load."""
 
     def __init__(self):
         self.version = ""
         self.reason = ""
-        self.delay_s = BACKOFF_FIRST_S
-        self.until_s = 0.0
+        self.delay_s = LOAD_BACKOFF_MIN_S
+        self.retry_at_s = 0.0
 
-    def note(self, version: str, reason: str, now_s: float) -> None:
-        """Note a failed load; the same version again doubles the wait."""
-        again = version == self.version
+    def record_failure(self, version: str, reason: str, now_s: float) -> None:
+        """Note a failed load; the same version is_repeat doubles the wait."""
+        is_repeat = version == self.version
         self.delay_s = (
-            min(BACKOFF_MOST_S, self.delay_s * 2) if again else BACKOFF_FIRST_S
+            min(LOAD_BACKOFF_MAX_S, self.delay_s * 2)
+            if is_repeat
+            else LOAD_BACKOFF_MIN_S
         )
         self.version = version
         self.reason = reason
-        self.until_s = now_s + self.delay_s
+        self.retry_at_s = now_s + self.delay_s
 
-    def holds(self, version: str, now_s: float) -> bool:
+    def blocks(self, version: str, now_s: float) -> bool:
         """Tell whether a version must not be tried yet."""
-        return version == self.version and now_s < self.until_s
+        return version == self.version and now_s < self.retry_at_s
 
 
-class Switcher:
+class VersionSwitcher:
     """Brings the target to what the catalogue names.
 
     Parameters
@@ -93,25 +99,25 @@
         self.engine = engine
         self.source_url = source_url
         self.on_change = on_change
-        self.changed = asyncio.Event()
-        self.setback = Setback()
-        self.served = ""
+        self.catalogue_changed = asyncio.Event()
+        self.load_backoff = LoadBackoff()
+        self.last_served_version = ""
         self.fencing = 0
-        self.holding = False
-        self.denied_s = DENIED_FIRST_S
+        self.has_permit = False
+        self.permit_backoff_s = PERMIT_BACKOFF_MIN_S
         self.rng = random.Random(settings.node_id)
-        self.copying: asyncio.Task | None = None
-        self.copying_version = ""
-        self.ready_version = ""
+        self.download_task: asyncio.Task | None = None
+        self.download_version = ""
+        self.complete_version = ""
         self.detail = ""
-        self.copy_fault = ""
+        self.download_error = ""
 
     @property
     def chart(self):
         """State of the target."""
         return self.gate.chart
 
-    def desired(self) -> Entry | None:
+    def desired_entry(self) -> Entry | None:
         """Return the catalogue entry that rules this target."""
         entries = self.control.holder.by_service.get(self.settings.service)
         return entries[0] if entries else None
@@ -121,45 +127,45 @@
         while True:
             try:
                 await self.reconcile()
-                delay_s = POLL_S
+                delay_s = RECONCILE_INTERVAL_S
             except WisteriapulleyError as error:
                 self.detail = str(error)
                 log.warning("switch: %s", error, extra=fields(code=error.code))
-                delay_s = FAILED_S
+                delay_s = FAILURE_BACKOFF_S
             self.on_change()
-            await self.pause(delay_s)
+            await self.wait_for_change(delay_s)
 
-    async def pause(self, delay_s: float) -> None:
+    async def wait_for_change(self, delay_s: float) -> None:
         """Wait, but not longer than until the catalogue changes."""
         try:
             async with asyncio.timeout(delay_s):
-                await self.changed.wait()
+                await self.catalogue_changed.wait()
         except TimeoutError:
             pass
-        self.changed.clear()
+        self.catalogue_changed.clear()
 
     async def reconcile(self) -> None:
         """Take one step towards the catalogue."""
-        entry = self.desired()
+        entry = self.desired_entry()
         if entry is not None and entry.version:
             # The copy needs no engine: it goes on while that restarts.
-            self.start_copy(entry)
-        state = await self.observe()
+            self.start_download(entry)
+        state = await self.observe_engine()
         if entry is None or self.chart.state == "leaving":
             return
         if self.chart.state == "open" and self.gate.version == entry.version:
             self.detail = ""
             return
         if self.chart.state == "empty" and state.version == entry.version:
-            self.open(entry.version, "adopt")
-            if self.holding:
-                await self.release()
+            self.open_gate(entry.version, "adopt")
+            if self.has_permit:
+                await self.release_permit()
             return
         version = self.next_version(entry, state)
         if version:
-            await self.switch(entry, version)
+            await self.switch_version(entry, version)
         else:
-            self.detail = self.why_waiting(entry)
+            self.detail = self.waiting_reason(entry)
 
     def next_version(self, entry: Entry, state: EngineState) -> str:
         """Return the version to load now, or an empty text to wait.
@@ -169,21 +175,25 @@
         served: the failure of a new one must not take the target away.
         """
         now_s = asyncio.get_running_loop().time()
-        ready = self.ready_version == entry.version
-        if ready and not self.setback.holds(entry.version, now_s):
+        is_complete = self.complete_version == entry.version
+        if is_complete and not self.load_backoff.blocks(entry.version, now_s):
             return entry.version
-        held = self.served in self.swarm.manifests
-        if self.chart.state == "empty" and self.served and held:
-            return "" if self.setback.holds(self.served, now_s) else self.served
+        is_restorable = self.last_served_version in self.swarm.manifests
+        if self.chart.state == "empty" and self.last_served_version and is_restorable:
+            return (
+                ""
+                if self.load_backoff.blocks(self.last_served_version, now_s)
+                else self.last_served_version
+            )
         return ""
 
-    def why_waiting(self, entry: Entry) -> str:
+    def waiting_reason(self, entry: Entry) -> str:
         """Say why the target does not have the catalogue's version yet."""
-        if self.setback.version == entry.version:
-            return self.setback.reason
-        return self.swarm.trouble() or self.copy_fault
+        if self.load_backoff.version == entry.version:
+            return self.load_backoff.reason
+        return self.swarm.trouble() or self.download_error
 
-    async def observe(self) -> EngineState:
+    async def observe_engine(self) -> EngineState:
         """Ask the engine, and close the gate when it is not what we hold."""
         try:
             state = await self.engine.state()
@@ -201,45 +211,47 @@
             self.gate.version = ""
             self.on_change()
 
-    def open(self, version: str, trigger: str) -> None:
+    def open_gate(self, version: str, trigger: str) -> None:
         """Open the gate with a version that the engine reported."""
         self.gate.version = version
-        self.served = version
+        self.last_served_version = version
         self.chart.fire(trigger)
         self.detail = ""
         self.on_change()
 
-    def start_copy(self, entry: Entry) -> None:
+    def start_download(self, entry: Entry) -> None:
         """Copy the version unless it is whole here or on its way.
 
         The copy of a version that the catalogue no longer names is cancelled
         with all its fetches; chunks that the new one shares stay.
         """
-        if self.ready_version == entry.version:
+        if self.complete_version == entry.version:
             return
-        ended = self.copying is None or self.copying.done()
-        if self.copying_version == entry.version and not ended:
+        is_finished = self.download_task is None or self.download_task.done()
+        if self.download_version == entry.version and not is_finished:
             return
-        if self.copying is not None:
-            self.copying.cancel()
-        self.copying_version = entry.version
-        self.copying = asyncio.get_running_loop().create_task(self.copy(entry))
+        if self.download_task is not None:
+            self.download_task.cancel()
+        self.download_version = entry.version
+        self.download_task = asyncio.get_running_loop().create_task(
+            self.download(entry)
+        )
 
-    async def copy(self, entry: Entry) -> None:
+    async def download(self, entry: Entry) -> None:
         """Copy a version whole and verified."""
-        self.swarm.serving = self.gate.version or self.served
+        self.swarm.serving = self.gate.version or self.last_served_version
         try:
             manifest = await self.swarm.fetch_version(entry.version, entry.distribution)
         except WisteriapulleyError as error:
-            self.copy_fault = str(error)
+            self.download_error = str(error)
             log.error("copy: %s", error, extra=fields(code=error.code))
-            await asyncio.sleep(FAILED_S)
+            await asyncio.sleep(FAILURE_BACKOFF_S)
             return
-        self.copy_fault = ""
-        self.ready_version = manifest.digest
-        self.changed.set()
+        self.download_error = ""
+        self.complete_version = manifest.digest
+        self.catalogue_changed.set()
 
-    async def switch(self, entry: Entry, version: str) -> None:
+    async def switch_version(self, entry: Entry, version: str) -> None:
         """Drain, load, verify and open, under a permit.
 
         A target that a failed load left empty keeps its permit until it is open
@@ -247,8 +259,8 @@
         target after the other out of service.
         """
         serving = self.chart.state == "open"
-        counted = serving or self.holding
-        if not await self.permitted(entry, version, counted):
+        counted = serving or self.has_permit
+        if not await self.obtain_permit(entry, version, counted):
             return
         try:
             if serving and not await self.drain(version):
@@ -256,9 +268,9 @@
             await self.load(version, entry.role)
         finally:
             if self.chart.state != "empty":
-                await self.release()
+                await self.release_permit()
 
-    async def permitted(self, entry: Entry, version: str, counted: bool) -> bool:
+    async def obtain_permit(self, entry: Entry, version: str, counted: bool) -> bool:
         """Get a permit; tell whether the switch may begin.
 
         While control is away, an engine that lost its weights may get back the
@@ -267,19 +279,23 @@
         change.
         """
         try:
-            permit = await self.acquire(entry, version, counted)
+            permit = await self.request_permit(entry, version, counted)
         except WisteriapulleyError as error:
             empty = self.chart.state == "empty"
-            if error.code in AWAY and empty and version == self.served:
+            if (
+                error.code in CONTROL_UNREACHABLE_CODES
+                and empty
+                and version == self.last_served_version
+            ):
                 return True
             raise
         if permit.code == ResultCode.OK:
             self.fencing = permit.fencing
-            self.holding = True
-            self.denied_s = DENIED_FIRST_S
+            self.has_permit = True
+            self.permit_backoff_s = PERMIT_BACKOFF_MIN_S
             return True
-        await asyncio.sleep(self.denied_s * (0.5 + self.rng.random()))
-        self.denied_s = min(DENIED_MOST_S, self.denied_s * 1.5)
+        await asyncio.sleep(self.permit_backoff_s * (0.5 + self.rng.random()))
+        self.permit_backoff_s = min(PERMIT_BACKOFF_MAX_S, self.permit_backoff_s * 1.5)
         return False
 
     async def drain(self, version: str) -> bool:
@@ -296,7 +312,7 @@
         try:
             async with asyncio.timeout(self.settings.drain_ms / 1000):
                 await self.gate.drained()
-            entry = self.desired()
+            entry = self.desired_entry()
             if entry is not None and entry.version == version:
                 return True
         except TimeoutError:
@@ -306,7 +322,9 @@
             self.on_change()
         return False
 
-    async def acquire(self, entry: Entry, version: str, serving: bool) -> PermitResult:
+    async def request_permit(
+        self, entry: Entry, version: str, serving: bool
+    ) -> PermitResult:
         """Ask the leader for a permit."""
         command = AcquirePermit(
             entry.service,
@@ -318,9 +336,9 @@
         )
         return await self.control.propose(command)
 
-    async def release(self) -> None:
+    async def release_permit(self) -> None:
         """Give the permit back; a lost release ends with the member's lease."""
-        self.holding = False
+        self.has_permit = False
         try:
             await self.control.propose(
                 ReleasePermit(self.settings.node_id, self.fencing)
@@ -340,12 +358,14 @@
         try:
             await self.check_lease(version)
         except WisteriapulleyError:
-            self.reopen_if_drained()
+            self.reopen_gate()
             raise
         self.chart.fire("load")
         self.on_change()
         try:
-            await self.engine.load(Order(version, self.source_url, self.fencing, role))
+            await self.engine.load(
+                LoadOrder(version, self.source_url, self.fencing, role)
+            )
             state = await self.engine.state()
             if state.version != version:
                 raise WeightsError(
@@ -353,16 +373,16 @@
                     f"ordered {version}, engine reports {state.version!r}",
                 )
         except WeightsError as error:
-            await self.load_failed(version, error)
+            await self.handle_load_failure(version, error)
             raise
-        self.open(version, "loaded")
-        if version == self.ready_version:
+        self.open_gate(version, "loaded")
+        if version == self.complete_version:
             self.swarm.serving = version
             self.swarm.keep_only({version})
 
     async def check_lease(self, version: str) -> None:
         """Make sure that a quorum lives right before an order that changes much."""
-        if version == self.served and self.chart.state == "empty":
+        if version == self.last_served_version and self.chart.state == "empty":
             return
         sent_s = time.monotonic()
         lease = await self.control.lease()
@@ -371,23 +391,23 @@
         if time.monotonic() >= sent_s + lease.remaining_ms / 1000:
             raise WeightsError(ResultCode.NO_QUORUM, "the lease has ended")
 
-    def reopen_if_drained(self) -> None:
+    def reopen_gate(self) -> None:
         """Go on with the old version: the engine has not been ordered."""
         if self.chart.can("reopen"):
             self.chart.fire("reopen")
             self.on_change()
 
-    async def load_failed(self, version: str, error: WeightsError) -> None:
+    async def handle_load_failure(self, version: str, error: WeightsError) -> None:
         """Keep the old version in service if the engine still holds it."""
         now_s = asyncio.get_running_loop().time()
         if error.code != ResultCode.ENGINE_FENCED:
-            self.setback.note(version, str(error), now_s)
-        held = ""
+            self.load_backoff.record_failure(version, str(error), now_s)
+        held_version = ""
         try:
-            held = (await self.engine.state()).version
-        except WeightsError as fault:
-            log.warning("engine after a failed load: %s", fault)
-        if held and held == self.gate.version:
+            held_version = (await self.engine.state()).version
+        except WeightsError as state_error:
+            log.warning("engine after a failed load: %s", state_error)
+        if held_version and held_version == self.gate.version:
             self.chart.fire("kept")
         else:
             self.chart.fire("fail")
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -34,7 +34,7 @@
         assert caught.value.code == ResultCode.REQUEST_EXPIRED
 
     def test_kept_bytes_are_bounded(self):
-        table = AttemptTable(kept_limit=10)
+        table = AttemptTable(max_kept_bytes=10)
         for number in range(3):
             key = AttemptKey("a", str(number))
             attempt = table.start(key, 1, 100.0, 0.0)
@@ -53,16 +53,16 @@
         table = AttemptTable()
         table.resolve(KEY, 1, 100.0)
         table.resolve(KEY, 2, 10.0)
-        table.forget_expired(150.0)
+        table.drop_expired(150.0)
         assert table.attempts[KEY].expires_s == 100.0
-        table.forget_expired(161.0)
+        table.drop_expired(161.0)
         assert not table.attempts
 
     def test_full_table_forgets_nothing_that_is_live(self):
-        table = AttemptTable(limit=1)
+        table = AttemptTable(max_attempts=1)
         running = table.start(KEY, 1, 1.0, 0.0)
         with pytest.raises(RequestError) as caught:
             table.resolve(AttemptKey("a", "other"), 1, 100.0)
         assert caught.value.code == ResultCode.OVERLOADED
-        table.forget_expired(500.0)
+        table.drop_expired(500.0)
         assert table.attempts[KEY] is running
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -34,7 +34,7 @@
         assert not ledger.claims
 
     def test_full_ledger_refuses_rather_than_forgets(self):
-        ledger = ClaimLedger(limit=1)
+        ledger = ClaimLedger(max_claims=1)
         ledger.put(KEY, claim(), 0, 0)
         assert ledger.put(ClaimKey("a", "b"), claim(), 0, 0).code == (
             ResultCode.OVERLOADED
--- a/tests/test_entry_answer.py
+++ b/tests/test_entry_answer.py
@@ -28,7 +28,7 @@
 
     async def handle(self, link, frame):
         if isinstance(frame.message, messages.Credit):
-            self.sender.grant(link, frame.message)
+            self.sender.add_credit(link, frame.message)
         else:
             await self.answer(self, link, frame)
 
--- a/tests/test_entry_once.py
+++ b/tests/test_entry_at_most_once.py
@@ -11,8 +11,8 @@
 from wisteriapulley.catalogue import Entry
 from wisteriapulley.claims import ClaimLedger
 from wisteriapulley.control.driver import no_quorum
+from wisteriapulley.entry.at_most_once import AtMostOnceRunner
 from wisteriapulley.entry.dispatch import Dispatcher
-from wisteriapulley.entry.once import OnceRunner
 from wisteriapulley.entry.placing import Placer
 from wisteriapulley.entry.request import CallerRequest
 from wisteriapulley.entry.targets import Targets
@@ -55,13 +55,13 @@
         pass
 
 
-async def echo(side, request):
+async def echo(sidecar, request):
     body = await request.read()
-    await side.hold.wait()
+    await sidecar.hold.wait()
     return web.Response(body=body)
 
 
-class Side:
+class FakeSidecar:
     """A target and its gate; `hold` keeps its answers back."""
 
     def __init__(self, name, control):
@@ -127,7 +127,7 @@
         self.begun.set()
         return await self.respond(self, request)
 
-    async def verify(self, version, orders):
+    async def verify(self, version, order_count):
         if self.loaded not in ("", version):
             raise WeightsError(ResultCode.ENGINE_WRONG_DIGEST, self.loaded)
 
@@ -155,7 +155,7 @@
             settings, identity, control, None, lambda: messages.Heartbeat()
         )
         dispatcher = Dispatcher(Placer(self.targets, SimpleNamespace(choice=min)))
-        self.once = OnceRunner(dispatcher, control)
+        self.runner = AtMostOnceRunner(dispatcher, control)
         self.headed = asyncio.Event()
         self.got = []
 
@@ -172,7 +172,7 @@
             expires_ms, deadline_s,
         )  # fmt: skip
         request = request._replace(**more)
-        run = self.once.run if request.key else self.once.dispatcher.run
+        run = self.runner.run if request.key else self.runner.dispatcher.run
         answer = await run(request)
         self.headed.set()
         self.got = got = []
@@ -188,11 +188,11 @@
             await self.send(*args, **more)
         return caught.value.code
 
-    def cut(self, side):
-        self.targets.targets[side.name].link.close()
+    def cut(self, sidecar):
+        self.targets.targets[sidecar.name].link.close()
 
 
-def with_fleet(sides=2, entries=1):
+def with_fleet(sidecars=2, entries=1):
     """Run the test with so many targets and entries."""
 
     def wrap(test):
@@ -201,11 +201,13 @@
 
         async def start(test, self):
             control = FakeControl()
-            targets = [await Side(f"t{i}", control).start() for i in range(sides)]
+            targets = [
+                await FakeSidecar(f"t{i}", control).start() for i in range(sidecars)
+            ]
             clients = [FakeEntry(f"e{i}", control) for i in range(entries)]
             try:
                 for client in clients:
-                    await client.ready(sides)
+                    await client.ready(sidecars)
                 async with asyncio.timeout(30):
                     await test(self, control, targets, *clients)
             finally:
@@ -222,88 +224,88 @@
 class TestOnceRunner:
     @with_fleet()
     async def test_answer_whose_link_was_cut_comes_over_the_next(
-        self, control, sides, entry
+        self, control, sidecars, entry
     ):
-        sides[0].hold.clear()
+        sidecars[0].hold.clear()
         sending = asyncio.create_task(entry.send())
-        await sides[0].begun.wait()
-        entry.cut(sides[0])
-        sides[0].hold.set()
+        await sidecars[0].begun.wait()
+        entry.cut(sidecars[0])
+        sidecars[0].hold.set()
         assert await sending == b"letter"
-        assert sides[0].ran + sides[1].ran == ["k"]
+        assert sidecars[0].ran + sidecars[1].ran == ["k"]
 
     @with_fleet()
     async def test_closed_gate_leaves_a_tombstone_and_another_target_runs(
-        self, control, sides, entry
+        self, control, sidecars, entry
     ):
-        sides[0].gate.chart.fire("drain")
+        sidecars[0].gate.chart.fire("drain")
         assert await entry.send() == b"letter"
-        assert (sides[0].ran, sides[1].ran) == ([], ["k"])
-        assert [a.state for a in sides[0].gate.attempts.attempts.values()] == [
+        assert (sidecars[0].ran, sidecars[1].ran) == ([], ["k"])
+        assert [a.state for a in sidecars[0].gate.attempts.attempts.values()] == [
             "tombstone"
         ]
 
     @with_fleet(entries=2)
     async def test_resend_at_another_entry_gets_the_running_answer(
-        self, control, sides, entry, other
+        self, control, sidecars, entry, other
     ):
-        sides[0].hold.clear()
+        sidecars[0].hold.clear()
         first = asyncio.create_task(entry.send())
-        await sides[0].begun.wait()
+        await sidecars[0].begun.wait()
         second = asyncio.create_task(other.send())
         await asyncio.sleep(0.1)
-        sides[0].hold.set()
+        sidecars[0].hold.set()
         assert [await first, await second] == [b"letter", b"letter"]
-        assert sides[0].ran + sides[1].ran == ["k"]
+        assert sidecars[0].ran + sidecars[1].ran == ["k"]
 
     @with_fleet(entries=2)
     async def test_claim_whose_dispatch_never_left_is_taken_over_once(
-        self, control, sides, entry, other
+        self, control, sidecars, entry, other
     ):
         # Both follow the claim of an entry that died before it sent.
-        entry.once.dispatcher.send = never
+        entry.runner.dispatcher.send = never
         dead = asyncio.create_task(entry.send())
         await asyncio.sleep(0.1)
         dead.cancel()
-        del entry.once.dispatcher.send
+        del entry.runner.dispatcher.send
         assert len(control.ledger.claims) == 1
         answers = await asyncio.gather(entry.send(), other.send(), other.send())
         assert answers == [b"letter"] * 3
-        assert sides[0].ran + sides[1].ran == ["k"]
+        assert sidecars[0].ran + sidecars[1].ran == ["k"]
 
     @with_fleet()
     async def test_restarted_sidecar_may_have_run_it_and_it_is_never_rerun(
-        self, control, sides, entry
+        self, control, sidecars, entry
     ):
-        sides[0].hold.clear()
+        sidecars[0].hold.clear()
         sending = asyncio.create_task(entry.refused())
-        await sides[0].begun.wait()
-        await sides[0].restart(2)
+        await sidecars[0].begun.wait()
+        await sidecars[0].restart(2)
         entry.targets.members_changed()
         assert await sending == ResultCode.MAY_HAVE_RUN
         assert await entry.refused() == ResultCode.MAY_HAVE_RUN
-        assert sides[0].ran + sides[1].ran == ["k"]
-        sides[0].hold.set()
+        assert sidecars[0].ran + sidecars[1].ran == ["k"]
+        sidecars[0].hold.set()
 
-    @with_fleet(sides=1)
+    @with_fleet(sidecars=1)
     async def test_target_that_went_while_it_ran_is_no_not_run(
-        self, control, sides, entry
+        self, control, sidecars, entry
     ):
         # Guards: "no link" was passed on as NO_TARGET, which says not run.
         entry.targets.started_s -= 60
-        sides[0].hold.clear()
+        sidecars[0].hold.clear()
         sending = asyncio.create_task(entry.refused())
-        await sides[0].begun.wait()
+        await sidecars[0].begun.wait()
         del control.members["t0"]
-        await sides[0].server.stop()
+        await sidecars[0].server.stop()
         entry.targets.members_changed()
         assert await sending == ResultCode.MAY_HAVE_RUN
         assert await entry.refused() == ResultCode.MAY_HAVE_RUN
-        sides[0].hold.set()
+        sidecars[0].hold.set()
 
     @with_fleet()
     async def test_without_ledger_only_a_first_send_is_refused_as_not_run(
-        self, control, sides, entry
+        self, control, sidecars, entry
     ):
         control.away = True
         assert await entry.refused("new") == ResultCode.CLAIM_UNAVAILABLE
@@ -317,11 +319,11 @@
 
     @with_fleet(entries=2)
     async def test_refused_resend_follows_the_claim_that_stands(
-        self, control, sides, entry, other
+        self, control, sidecars, entry, other
     ):
         # Guards: a full queue refused the resend of what had run as not run.
         await entry.send()
-        other.once.dispatcher.placer.acquire = full
+        other.runner.dispatcher.placer.acquire = full
         assert await other.send() == b"letter"
         assert await other.refused("new") == ResultCode.OVERLOADED
         past = time.time_ns() // 1_000_000 - 1000
@@ -331,32 +333,32 @@
 
     @with_fleet()
     async def test_deadline_passes_and_a_resend_gets_the_answer(
-        self, control, sides, entry
+        self, control, sidecars, entry
     ):
-        sides[0].hold.clear()
+        sidecars[0].hold.clear()
         assert await entry.refused(seconds=0.2) == ResultCode.DEADLINE_EXCEEDED
-        sides[0].hold.set()
+        sidecars[0].hold.set()
         assert await entry.send() == b"letter"
-        assert sides[0].ran + sides[1].ran == ["k"]
+        assert sidecars[0].ran + sidecars[1].ran == ["k"]
 
-    @with_fleet(sides=1)
-    async def test_claim_known_not_to_run_is_released(self, control, sides, entry):
+    @with_fleet(sidecars=1)
+    async def test_claim_known_not_to_run_is_released(self, control, sidecars, entry):
         # Otherwise a resend after its target has gone could only say "may have".
-        sides[0].gate.chart.fire("drain")
+        sidecars[0].gate.chart.fire("drain")
         assert await entry.refused() == ResultCode.NO_TARGET
         (claim,) = control.ledger.claims.values()
         assert claim.target == ""
-        sides[0].gate.chart.fire("reopen")
+        sidecars[0].gate.chart.fire("reopen")
         assert await entry.send() == b"letter"
 
     @with_fleet()
-    async def test_other_body_is_a_conflict(self, control, sides, entry):
+    async def test_other_body_is_a_conflict(self, control, sidecars, entry):
         await entry.send()
         assert await entry.refused(body=b"2") == ResultCode.IDEMPOTENCY_CONFLICT
 
     @with_fleet()
     async def test_late_original_meets_its_tombstone_or_its_expiry(
-        self, control, sides, entry
+        self, control, sidecars, entry
     ):
         link = entry.targets.targets["t0"].link
         resolve = messages.Resolve("a", "k", 1, 1, "r", 60_000)
@@ -372,13 +374,13 @@
             with pytest.raises(WisteriapulleyError) as caught:
                 await link.request(frame, 5)
             assert caught.value.code == code
-        assert sides[0].ran == []
+        assert sidecars[0].ran == []
 
-    @with_fleet(sides=1)
+    @with_fleet(sidecars=1)
     async def test_target_that_takes_no_connection_did_not_run_it(
-        self, control, sides, entry
+        self, control, sidecars, entry
     ):
-        await sides[0].runner.cleanup()
+        await sidecars[0].runner.cleanup()
         assert await entry.refused() == ResultCode.NO_TARGET
 
 
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -9,7 +9,7 @@
 from wisteriapulley import http_server
 from wisteriapulley.catalogue import Entry
 from wisteriapulley.entry import body as body_module
-from wisteriapulley.entry.body import BodyBudget, HeldBody
+from wisteriapulley.entry.body import BodyBudget, BufferedBody
 from wisteriapulley.entry.metrics import EntryMetrics
 from wisteriapulley.entry.request import parse_request
 from wisteriapulley.errors import ResultCode, WisteriapulleyError
@@ -35,7 +35,7 @@
     budget = budget or BodyBudget()
 
     async def handle(request):
-        held = HeldBody(budget, MAX_BYTES)
+        held = BufferedBody(budget, MAX_BYTES)
         try:
             caller = parse_request(request, await held.read(request), ENTRIES)
             return web.json_response([caller.path, caller.units])
@@ -133,7 +133,7 @@
         assert json.loads(body)["error"]["code"] == ResultCode.OVERLOADED
 
     def test_slow_body_is_refused(self, monkeypatch):
-        monkeypatch.setattr(body_module, "BODY_READ_S", 0.05)
+        monkeypatch.setattr(body_module, "BODY_READ_TIMEOUT_S", 0.05)
         data = http("/services/titles/x", b"", ACCOUNT)
         data = data.replace(b"Content-Length: 0", b"Content-Length: 9")
         _, body = ask(data)
@@ -155,7 +155,7 @@
     def test_invented_accounts_do_not_grow_the_metrics(self):
         measured = EntryMetrics(Metrics("n", "entry"), max_accounts=2)
         for number in range(50):
-            measured.answered(f"refused-{number}", "c", 403, 0.1)
-            measured.answered(f"served-{number}", "c", 0, 0.1)
+            measured.record_response(f"refused-{number}", "c", 403, 0.1)
+            measured.record_response(f"served-{number}", "c", 0, 0.1)
         assert measured.accounts == {"served-0", "served-1"}
         assert len(measured.requests.get_all()) == 4
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -18,7 +18,7 @@
 from wisteriapulley.sidecar import switch as switch_module
 from wisteriapulley.sidecar.engine import ModelEngine
 from wisteriapulley.sidecar.gate import Gate
-from wisteriapulley.sidecar.switch import Switcher
+from wisteriapulley.sidecar.switch import VersionSwitcher
 from wisteriapulley.sidecar.weights_http import PREFIX, WeightsHandlers
 from wisteriapulley.statechart import StateChart
 from wisteriapulley.weights import ChunkStore, Peer
@@ -117,7 +117,7 @@
         app.add_routes(WeightsHandlers(self.swarm).routes())
         port = free_port()
         self.runners.append(await serve(app, port))
-        self.switcher = Switcher(
+        self.switcher = VersionSwitcher(
             settings,
             self.control,
             self.gate,
@@ -182,10 +182,10 @@
 
 @pytest.fixture
 def run_target(tmp_path, monkeypatch):
-    monkeypatch.setattr(switch_module, "POLL_S", 0.01)
-    monkeypatch.setattr(switch_module, "FAILED_S", 0.01)
-    monkeypatch.setattr(switch_module, "DENIED_FIRST_S", 0.01)
-    monkeypatch.setattr(engine_module, "WATCH_S", 0.05)
+    monkeypatch.setattr(switch_module, "RECONCILE_INTERVAL_S", 0.01)
+    monkeypatch.setattr(switch_module, "FAILURE_BACKOFF_S", 0.01)
+    monkeypatch.setattr(switch_module, "PERMIT_BACKOFF_MIN_S", 0.01)
+    monkeypatch.setattr(engine_module, "ORDER_POLL_INTERVAL_S", 0.05)
 
     def run(scenario):
         async def main():
@@ -249,7 +249,7 @@
         async def scenario(target):
             target.control.name(run_target.first)
             await target.serving(run_target.first)
-            with target.gate.entered():
+            with target.gate.count_running():
                 target.control.name(run_target.second)
                 await target.until(lambda: "drain_ms" in target.switcher.detail)
                 assert target.loads() == [run_target.first]
@@ -271,7 +271,7 @@
             await target.serving(run_target.first)
             target.fake.load_fault = fault
             target.control.name(run_target.second)
-            await target.until(lambda: target.switcher.setback.version)
+            await target.until(lambda: target.switcher.load_backoff.version)
             target.fake.load_fault = ""
             await target.serving(run_target.first)
             await target.until(lambda: code in target.switcher.detail)
@@ -302,7 +302,7 @@
         async def scenario(target):
             target.control.name(run_target.first)
             target.fake.load_fault = "crash"
-            await target.until(lambda: target.switcher.setback.version)
+            await target.until(lambda: target.switcher.load_backoff.version)
             target.fake.load_fault = ""
             target.control.name(run_target.second)
             await target.serving(run_target.second)
@@ -345,7 +345,7 @@
             target.fake.load_fault = "silent"
             target.control.name(run_target.first)
             await target.serving(run_target.first)
-            assert not target.switcher.setback.version
+            assert not target.switcher.load_backoff.version
 
         run_target(scenario)
 
