--- a/src/wisteriapulley/claims/__init__.py
+++ b/src/wisteriapulley/claims/__init__.py
@@ -1,4 +1,4 @@
-"""The at-most-once ledger of non-idempotent requests."""
+"""Claim ledger that lets a non-idempotent request run at most once."""
 
 from wisteriapulley.claims.ledger import Claim, ClaimKey, ClaimLedger, ClaimResult
 
--- a/src/wisteriapulley/claims/ledger.py
+++ b/src/wisteriapulley/claims/ledger.py
@@ -1,8 +1,9 @@
 """Claims: which target may run which non-idempotent request.
 
-A pure state machine applied by the log. The claim on (client account, key) is
-changed only by compare-and-set on its attempt, so one attempt is current, and
-a sidecar runs an attempt once. See ``docs/design/configuration.md``.
+The ledger is a deterministic state machine that the replicated log drives. The
+claim on (client account, key) changes only by compare-and-set on its attempt
+number, so only one attempt is current, and a sidecar runs an attempt at most once.
+See ``docs/design/configuration.md``.
 """
 
 import heapq
@@ -13,12 +14,12 @@
 from wisteriapulley.errors import ResultCode
 
 MAX_EXPIRY_MS = 600_000
-# Kept this much longer than the expiry, against clocks that disagree.
+# Claims are kept this much longer than their expiry, to allow for clock skew.
 EXPIRY_MARGIN_MS = 60_000
-# Load: 45 requests a second that may run only once, each kept 660 s. Harm
-# prevented: a ledger that grows past the memory of a control instance.
+# Enough for 45 non-idempotent requests a second, each claim kept for 660 s. Without
+# a bound the ledger could outgrow the memory of a control instance.
 MAX_CLAIMS = 30_000
-# Claims are forgotten by the second of their expiry, never one by one.
+# Claims are grouped by the second of their expiry and dropped a group at a time.
 EXPIRY_BUCKET_MS = 1000
 
 
@@ -30,20 +31,21 @@
 
 
 class Claim(msgspec.Struct, frozen=True, gc=False):
-    """Who may run a request.
+    """The target and attempt that may run a request.
 
     Attributes
     ----------
     body_digest : bytes
-        Digest of the request, to tell a resend from a clash.
+        Digest of the request, to tell a resend from a different request under the
+        same key.
     target : str
-        Node id of the sidecar that may run it.
+        Node id of the sidecar that may run the request.
     incarnation : int
-        That sidecar's incarnation.
+        Incarnation of that sidecar.
     attempt : int
-        Counts from 1.
+        Attempt number, counted from 1.
     expires_at_ms : int
-        Unix time in milliseconds after which it may not start.
+        Unix time in milliseconds after which the request may not start.
     """
 
     body_digest: bytes
@@ -54,19 +56,19 @@
 
     @property
     def bucket(self) -> int:
-        """Second in which it expires."""
+        """Unix time in seconds at which the claim expires."""
         return self.expires_at_ms // EXPIRY_BUCKET_MS
 
 
 class ClaimResult(msgspec.Struct, frozen=True):
-    """Outcome of a claim.
+    """Outcome of a proposed claim.
 
     Attributes
     ----------
     code : int
-        OK when the proposed claim stands; otherwise why not.
+        OK if the proposed claim is now current, otherwise the reason why not.
     claim : Claim or None
-        The claim that stands.
+        The current claim.
     """
 
     code: int
@@ -74,13 +76,13 @@
 
 
 class ClaimLedger:
-    """Standing claims.
+    """Current claims by key.
 
     Parameters
     ----------
     limit : int
-        Most claims kept; beyond it new ones are refused as not run, because
-        forgetting a live claim could run a request twice.
+        Maximum number of claims. Beyond it new claims are rejected as not run,
+        because dropping a live claim could let a request run twice.
     """
 
     def __init__(self, max_claims: int = MAX_CLAIMS):
@@ -93,24 +95,25 @@
     def put(
         self, key: ClaimKey, claim: Claim, expected_attempt: int, now_ms: int
     ) -> ClaimResult:
-        """Set a claim if the current attempt is `expected_attempt`.
+        """Set a claim if the current attempt number is `expected_attempt`.
 
         Parameters
         ----------
         key : ClaimKey
-            Whose request.
+            Client account and idempotency key of the request.
         claim : Claim
             The claim to set; its attempt is ``expected_attempt + 1``.
         expected_attempt : int
-            0 when no claim may stand.
+            0 if no claim is expected.
         now_ms : int
-            The leader's Unix time in milliseconds; it never goes back here,
-            so a new leader with a slower clock revives no forgotten expiry.
+            The leader's Unix time in milliseconds. The ledger's time never goes
+            back, so a new leader whose clock is behind can't make an expired claim
+            valid again.
 
         Returns
         -------
         ClaimResult
-            With the claim that stands afterwards.
+            With the claim that is current afterwards.
         """
         self.now_ms = max(self.now_ms, now_ms)
         self.drop_expired()
@@ -124,10 +127,16 @@
     def check_claim(
         self, current: Claim | None, claim: Claim, expected_attempt: int
     ) -> ResultCode:
-        """Judge a proposed claim against the current one.
+        """Check a proposed claim against the current one.
 
-        A current claim is followed also after its expiry, because its request
-        may have run; only a new attempt needs an expiry ahead.
+        IN_PROGRESS is returned even if the current claim has expired, because its
+        request may have run and the entry has to follow it. Only a new attempt needs
+        an expiry in the future.
+
+        Returns
+        -------
+        ResultCode
+            OK if the claim may be set, otherwise the reason why not.
         """
         if current is not None and current.body_digest != claim.body_digest:
             return ResultCode.IDEMPOTENCY_CONFLICT
@@ -148,7 +157,7 @@
         return ResultCode.OK
 
     def set_claim(self, key: ClaimKey, claim: Claim) -> None:
-        """Let a claim stand and remember when it may be forgotten."""
+        """Make a claim current and schedule its removal after its expiry."""
         current = self.claims.get(key)
         target = sys.intern(claim.target)
         self.claims[key] = msgspec.structs.replace(claim, target=target)
@@ -156,16 +165,16 @@
             self.schedule_expiry(key, claim.bucket)
 
     def schedule_expiry(self, key: ClaimKey, bucket: int) -> None:
-        """Note that `key` expires in `bucket`."""
+        """Record that the claim of `key` expires in `bucket`."""
         if bucket not in self.buckets:
             self.buckets[bucket] = []
             heapq.heappush(self.bucket_heap, bucket)
         self.buckets[bucket].append(key)
 
     def drop_expired(self) -> None:
-        """Drop claims whose requests could no longer start anywhere.
+        """Drop claims whose requests can no longer start anywhere.
 
-        The cost is that of the claims dropped, not of those that stand.
+        The cost grows with the claims dropped, not with those that are current.
         """
         horizon = (self.now_ms - EXPIRY_MARGIN_MS) // EXPIRY_BUCKET_MS
         while self.bucket_heap and self.bucket_heap[0] < horizon:
@@ -176,7 +185,7 @@
                     del self.claims[key]
 
     def restore(self, claims: dict[ClaimKey, Claim], now_ms: int) -> None:
-        """Replace everything by a snapshot's content."""
+        """Replace all claims by the content of a snapshot."""
         self.claims = claims
         self.now_ms = now_ms
         self.buckets = {}
--- a/src/wisteriapulley/entry/__init__.py
+++ b/src/wisteriapulley/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The instances behind the platform's balancer: callers' requests."""
+"""Entry daemon: accepts callers' requests behind the platform's load balancer."""
--- a/src/wisteriapulley/entry/answer.py
+++ b/src/wisteriapulley/entry/answer.py
@@ -1,4 +1,4 @@
-"""Checks that an answer is whole and belongs to its request."""
+"""Check that an answer is complete and belongs to its request."""
 
 import zlib
 from collections.abc import AsyncGenerator, AsyncIterator, Callable
@@ -11,17 +11,18 @@
 
 
 class Answer(NamedTuple):
-    """Answer whose body still comes.
+    """Answer whose body is still being received.
 
     Attributes
     ----------
     head : AnswerHead
         Status and headers.
     parts : async generator of bytes
-        The body; it raises when the answer is cut.
+        The body; raises an error if the answer is cut off.
     abandon : callable
-        Takes the request off its target unless it is whole. Always call it in
-        the end: a generator that was never begun runs no clean-up of its own.
+        Cancels the request at its target unless the answer is complete. Always
+        call it at the end: a generator that was never started runs no clean-up of
+        its own.
     """
 
     head: messages.AnswerHead
@@ -32,7 +33,7 @@
 async def next_reply(
     call: Call, request_id: str, timeout_s: float | None = None
 ) -> Frame:
-    """Wait for the next reply to this request; drop and count crossed ones.
+    """Return the next reply to this request; drop and count those to other requests.
 
     Raises
     ------
@@ -50,11 +51,11 @@
 
 
 async def read_parts(call: Call, request_id: str) -> AsyncIterator[bytes]:
-    """Yield the parts of an answer; end only at a matching end mark.
+    """Yield the parts of an answer; return only at an end mark that matches them.
 
-    Whoever passes them on has one timer for the whole answer: a timer for each
-    part would cost more than the part. Credit for what was consumed goes back,
-    so a slow caller holds at most one window of its answer here.
+    There is no timeout here, because a timer for each part would cost more than the
+    part; the consumer has one for the whole answer. Consumed bytes are returned as
+    credit, so a slow caller holds at most one window of its answer here.
 
     Raises
     ------
@@ -69,12 +70,15 @@
             if (message.length, message.crc) != (offset, crc):
                 raise RequestError(
                     ResultCode.ANSWER_CUT,
-                    f"expected {message.length} bytes, got {offset}",
+                    "response truncated or corrupted:"
+                    f" expected {message.length} bytes, got {offset}",
                 )
             return
         if message.offset != offset:
             raise RequestError(
-                ResultCode.ANSWER_CUT, f"expected byte {offset}, got {message.offset}"
+                ResultCode.ANSWER_CUT,
+                "part of the response missing:"
+                f" expected offset {offset}, got {message.offset}",
             )
         offset += len(frame.body)
         crc = zlib.crc32(frame.body, crc)
--- a/src/wisteriapulley/entry/at_most_once.py
+++ b/src/wisteriapulley/entry/at_most_once.py
@@ -1,6 +1,9 @@
-"""Runs a non-idempotent request at most once: claim, send, resolve.
+"""Run a non-idempotent request at most once: claim, send, resolve.
 
-`docs/design/request-path.md` has the cases.
+The entry first commits a claim for one target to the ledger of the control
+instances, then sends the request to that target. After a failure it asks the
+target what became of the attempt before it claims another target.
+`docs/design/request-path.md` lists the cases.
 """
 
 import asyncio
@@ -47,29 +50,30 @@
 TOMBSTONE = "tombstone"
 UNKNOWN = "unknown"
 RESOLVE_RETRY_INTERVAL_S = 0.05
-# Claims of this entry that it remembers while control is away, some 300 bytes
-# each.
+# Keys that this entry has claimed, about 300 bytes each. They tell a resend from a
+# first send while no control instance is reachable.
 MAX_CLAIMED_KEYS = 10_000
-# A claim to no target: every attempt before it is known not to have run.
+# Target of a released claim: none of the attempts before it has run.
 UNASSIGNED_TARGET = ""
-# An expected attempt that never stands: the ledger changes nothing and answers
-# with the claim that does.
+# Expected attempt that never matches: the ledger changes nothing and returns the
+# current claim.
 READ_ONLY_ATTEMPT = -1
-# A refusal waits no longer than this for the ledger.
+# Bounds how long a refusal waits for the ledger.
 LEDGER_READ_TIMEOUT_S = 0.25
-# Half of the ledger's own margin, for clocks that disagree.
+# The ledger keeps an expired claim for its own margin. Half of that allows for
+# clock skew between this entry and the ledger.
 ASSUMED_RETENTION_MS = EXPIRY_MARGIN_MS // 2
 
 
 class AtMostOnceRunner:
-    """Runs keyed requests.
+    """Runs requests that carry an idempotency key.
 
     Parameters
     ----------
     dispatcher : Dispatcher
         Sends attempts.
     control : ControlClient
-        Commits claims.
+        Commits claims to the ledger.
     """
 
     def __init__(self, dispatcher: Dispatcher, control: ControlClient):
@@ -78,19 +82,22 @@
         self.control = control
         self.claimed_keys: OrderedDict[ClaimKey, int] = OrderedDict()
 
-    # -- the whole run ---------------------------------------------------
+    # -- running a request -----------------------------------------------
 
     async def run(self, request: CallerRequest) -> Answer:
-        """Return the answer of the one attempt that runs.
+        """Return the response of the one attempt that runs.
 
         Raises
         ------
         RequestError
-            "Not run" only when no attempt ran and none can any more under the
-            claims that stand.
+            Its code says "not run" only if no attempt has run and none can still
+            run under the current claim.
         """
         if expires_in_ms(request) <= 0:
-            expired = RequestError(ResultCode.REQUEST_EXPIRED, "the expiry has passed")
+            expired = RequestError(
+                ResultCode.REQUEST_EXPIRED,
+                "the expiry of the idempotency key has passed",
+            )
             return await self.follow_or_refuse(request, expired)
         avoid: set[str] = set()
         not_run_claim: Claim | None = None
@@ -100,19 +107,21 @@
                 return outcome
             not_run_claim = outcome
         refusal = RequestError(
-            ResultCode.CLAIM_UNAVAILABLE, "no attempt could run", RETRY_AFTER_MS
+            ResultCode.CLAIM_UNAVAILABLE,
+            "every attempt was rejected before it started",
+            RETRY_AFTER_MS,
         )
         return await self.follow_or_refuse(request, refusal, not_run_claim)
 
     async def try_attempt(
         self, request: CallerRequest, avoid: set[str], not_run_claim: Claim | None
     ) -> Answer | Claim:
-        """Claim and send one attempt, or follow the one that stands.
+        """Claim and send one attempt, or follow the current claim.
 
         Returns
         -------
         Answer or Claim
-            The claim is known not to run.
+            The response, or a claim whose attempt has not run and never will.
         """
         try:
             slot = await self.dispatcher.placer.acquire(request, avoid)
@@ -137,16 +146,16 @@
         refusal: RequestError,
         not_run_claim: Claim | None = None,
     ) -> Answer:
-        """Refuse, unless an earlier send of the key has a claim: follow that.
+        """Follow the claim of an earlier send of the key, or raise `refusal`.
 
-        A refusal as "not run" is about the request, and an earlier send at
-        another entry may have run it: only the ledger knows.
+        "Not run" must hold for every send of the key. An earlier send through
+        another entry may have run, and only the ledger has a record of it.
 
         Raises
         ------
         RequestError
-            `refusal`, or KEY_UNRESOLVED when the ledger does not answer and
-            the key is known to have been sent before.
+            `refusal`, or KEY_UNRESOLVED if the key was sent before and the ledger
+            does not answer or may already have dropped its claim.
         """
         try:
             result = await self.read_or_release_claim(request, not_run_claim)
@@ -168,21 +177,22 @@
         return followed
 
     def unresolved_error(self, refusal: RequestError) -> RequestError:
-        """Make the refusal of a send whose key may have run before."""
+        """Return the error of a refused send whose key may have run before."""
         return RequestError(
             ResultCode.KEY_UNRESOLVED,
-            f"this send did not run ({refusal.message})",
+            f"this send did not run ({refusal.message}), an earlier one may have;"
+            " send the same key again",
             refusal.retry_after_ms or RETRY_AFTER_MS,
         )
 
     def claim_may_have_expired(self, request: CallerRequest) -> bool:
-        """Tell whether the ledger may have forgotten a claim of this key."""
+        """Return whether the ledger may have dropped a claim of this key."""
         now_ms = time.time_ns() // 1_000_000
         expired = request.expires_ms + ASSUMED_RETENTION_MS < now_ms
         return expired and self.is_resend(request)
 
     def is_resend(self, request: CallerRequest) -> bool:
-        """Tell whether an earlier send is known, here or by the caller."""
+        """Return whether this entry or the caller has sent the key before."""
         return request.resend or claim_key(request) in self.claimed_keys
 
     # -- claims ----------------------------------------------------------
@@ -190,12 +200,12 @@
     async def commit_claim(
         self, request: CallerRequest, slot: Slot, not_run_claim: Claim | None
     ) -> ClaimResult:
-        """Commit a claim for a target, before anything is sent to it.
+        """Commit a claim for a target before anything is sent to it.
 
         Raises
         ------
         RequestError
-            The ledger did not answer; nothing was or will be sent.
+            The ledger did not answer. Nothing was sent and nothing will be.
         """
         expected_attempt = not_run_claim.attempt if not_run_claim is not None else 0
         sent_before = not_run_claim is not None or self.is_resend(request)
@@ -214,7 +224,7 @@
     async def read_or_release_claim(
         self, request: CallerRequest, not_run_claim: Claim | None
     ) -> ClaimResult:
-        """Read the claim that stands; release one that is known not to run."""
+        """Read the current claim, or release a claim that will not run."""
         if not_run_claim is None or not_run_claim.target == UNASSIGNED_TARGET:
             claim = Claim(request.digest(), UNASSIGNED_TARGET, 0, 0, request.expires_ms)
             return await self.propose_claim(request, claim, READ_ONLY_ATTEMPT)
@@ -227,7 +237,7 @@
     async def try_release_claim(
         self, request: CallerRequest, not_run_claim: Claim
     ) -> None:
-        """Release a claim; if that fails a resend asks its target instead."""
+        """Release a claim; on failure a resend asks the claim's target instead."""
         try:
             await self.read_or_release_claim(request, not_run_claim)
         except WisteriapulleyError as error:
@@ -236,7 +246,7 @@
     async def propose_claim(
         self, request: CallerRequest, claim: Claim, expected_attempt: int
     ) -> ClaimResult:
-        """Put a claim to the ledger, until the deadline at most."""
+        """Propose a claim to the ledger and wait at most until the deadline."""
         command = PutClaim(claim_key(request), claim, expected_attempt)
         is_read = expected_attempt == READ_ONLY_ATTEMPT
         timeout_s = (
@@ -250,11 +260,11 @@
         except TimeoutError as error:
             raise WireError(
                 ResultCode.LINK_TIMEOUT,
-                f"the ledger did not answer in {timeout_s:.1f} s",
+                f"the claim ledger did not answer within {timeout_s:.1f} s",
             ) from error
 
     def record_claimed_key(self, request: CallerRequest) -> None:
-        """Note that this entry has asked for a claim."""
+        """Record that this entry has proposed a claim for the key."""
         self.claimed_keys[claim_key(request)] = request.expires_ms
         if len(self.claimed_keys) > MAX_CLAIMED_KEYS:
             self.claimed_keys.popitem(last=False)
@@ -264,18 +274,18 @@
     async def send_claimed(
         self, request: CallerRequest, slot: Slot, claim: Claim
     ) -> Answer | Claim:
-        """Send a claimed attempt; follow it when its answer does not come."""
+        """Send a claimed attempt; follow the claim if the response is lost."""
         try:
             answer = await self.dispatcher.send(request, slot, claim.attempt)
             return self.refetching_answer(request, claim, answer)
         except NotSentError as error:
-            # Only the winner of the claim may send it, and it did not.
+            # Only the entry that won the claim may send it, and it did not.
             if error.code == ResultCode.DEADLINE_EXCEEDED:
                 raise
             return claim
         except WisteriapulleyError as error:
             log.info(
-                "attempt %d: %s",
+                "attempt %d failed: %s",
                 claim.attempt,
                 error,
                 extra=fields(request.request_id, code=error.code),
@@ -289,13 +299,19 @@
     async def follow_claim(
         self, request: CallerRequest, claim: Claim
     ) -> Answer | Claim:
-        """Ask the claim's target; return the claim when it is known not to run.
+        """Ask the claim's target for the response.
+
+        Returns
+        -------
+        Answer or Claim
+            The response, or the claim if its attempt has not run and never will.
 
         Raises
         ------
         RequestError
             MAY_HAVE_RUN: the target is gone or has restarted.
-            DEADLINE_EXCEEDED: it may still run, or could not be asked in time.
+            DEADLINE_EXCEEDED: the attempt may still run, or the target did not
+            answer before the deadline.
         """
         if claim.target == UNASSIGNED_TARGET:
             return claim
@@ -305,18 +321,22 @@
                 if link is not None:
                     return await self.resolve_attempt(request, claim, link)
             except WireError as error:
-                log.info("resolve: %s", error, extra=fields(request.request_id))
+                log.info(
+                    "could not resolve the attempt: %s",
+                    error,
+                    extra=fields(request.request_id),
+                )
             await asyncio.sleep(RESOLVE_RETRY_INTERVAL_S)
         raise RequestError(
             ResultCode.DEADLINE_EXCEEDED,
-            "it may still run: send the same key again for its answer",
+            "the request may still run; send the same key again to get its response",
             RETRY_AFTER_MS,
         )
 
     async def resolve_attempt(
         self, request: CallerRequest, claim: Claim, link: Link
     ) -> Answer | Claim:
-        """Ask one target what became of an attempt."""
+        """Ask a target for the outcome of an attempt and its response."""
         call = link.call(resolve_message(request, claim))
         head = None
         try:
@@ -336,37 +356,41 @@
     async def read_resolution(
         self, request: CallerRequest, call: Call
     ) -> messages.AnswerHead | None:
-        """Wait for what became of an attempt; None when it did not run."""
+        """Wait for the outcome of an attempt; return None if it did not run."""
         frame = await call.reply(request.remaining_s)
         raise_failure(frame)
         if frame.message.state == TOMBSTONE:
             return None
         if frame.message.state == UNKNOWN:
-            raise RequestError(ResultCode.MAY_HAVE_RUN, "the target has restarted")
+            raise RequestError(
+                ResultCode.MAY_HAVE_RUN,
+                "the target restarted and has no record of the attempt",
+            )
         return await self.dispatcher.read_head(request, call)
 
     def handle_resolve_error(self, claim: Claim, error: WisteriapulleyError) -> Claim:
-        """Judge a failure that answered a resolve."""
+        """Return the claim if the error proves that it did not run, else raise."""
         if error.code in (ResultCode.GATE_CLOSED, ResultCode.ATTEMPT_TOMBSTONED):
             return claim
         if error.code in (ResultCode.MAY_HAVE_RUN, ResultCode.DEADLINE_EXCEEDED):
             raise error
         if error.code == ResultCode.OVERLOADED:
-            # The target could not note it: nothing is known, so ask again.
+            # The target could not record a tombstone, so the outcome is still
+            # unknown. A WireError makes the caller ask again.
             raise WireError(ResultCode.LINK_TIMEOUT, error.message) from error
         raise RequestError(ResultCode.MAY_HAVE_RUN, error.message) from error
 
     def refetching_answer(
         self, request: CallerRequest, claim: Claim, answer: Answer
     ) -> Answer:
-        """Return an answer whose parts outlast a lost link."""
+        """Return an answer whose parts are fetched again after a lost link."""
         parts = self.refetching_parts(request, claim, answer)
         return answer._replace(parts=parts)
 
     async def refetching_parts(
         self, request: CallerRequest, claim: Claim, answer: Answer
     ) -> AsyncIterator[bytes]:
-        """Yield the parts of a kept answer; fetch it again when a link is lost."""
+        """Yield the parts of a kept answer; fetch it again if the link is lost."""
         sent = 0
         while True:
             skip = sent
@@ -384,5 +408,8 @@
                     raise self.dispatcher.as_deadline_error(request, error) from error
                 followed = await self.follow_claim(request, claim)
             if not isinstance(followed, Answer):
-                raise RequestError(ResultCode.ANSWER_CUT, "the answer is gone")
+                raise RequestError(
+                    ResultCode.ANSWER_CUT,
+                    "response cut off; the target no longer has it",
+                )
             answer = followed
--- a/src/wisteriapulley/entry/body.py
+++ b/src/wisteriapulley/entry/body.py
@@ -1,4 +1,4 @@
-"""Reads callers' bodies, bounded in size, time and memory of them all."""
+"""Read request bodies with limits on size, time and total memory."""
 
 import asyncio
 
@@ -6,39 +6,42 @@
 
 from wisteriapulley.errors import RequestError, ResultCode
 
-# A connection that sends its body slower than this is refused: it would hold
-# memory and a place here for as long as it likes.
+# A body must arrive within this time, or a slow sender could hold memory and a
+# connection for as long as it likes.
 BODY_READ_TIMEOUT_S = 30.0
-# Bodies of all requests in progress; with links and code well under what an
-# entry instance has. The 11 requests a second of the design size need far less.
+# Memory for the bodies of all requests in progress. Together with links and code it
+# stays well below the memory of an entry instance. The 11 requests a second that an
+# entry is designed for need far less.
 MAX_BUFFERED_BYTES = 64 << 20
 RETRY_AFTER_MS = 1000
 
 
 class BodyBudget:
-    """Bytes of the bodies that this entry holds."""
+    """Counts the bytes of all request bodies that this entry holds."""
 
     def __init__(self, max_bytes: int = MAX_BUFFERED_BYTES):
         self.max_bytes = max_bytes
         self.reserved = 0
 
     def reserve(self, size: int) -> None:
-        """Count bytes in.
+        """Reserve `size` bytes.
 
         Raises
         ------
         RequestError
-            OVERLOADED: callers are sending more than this entry can hold.
+            OVERLOADED: the bodies in progress would exceed the limit.
         """
         if self.reserved + size > self.max_bytes:
             raise RequestError(
-                ResultCode.OVERLOADED, "too many bodies are held", RETRY_AFTER_MS
+                ResultCode.OVERLOADED,
+                "the buffer for request bodies is full",
+                RETRY_AFTER_MS,
             )
         self.reserved += size
 
 
 class BufferedBody:
-    """One request's body; counts its bytes until `release`."""
+    """Body of one request; its bytes count against the budget until `release`."""
 
     def __init__(self, budget: BodyBudget, max_bytes: int):
         self.budget = budget
@@ -46,13 +49,13 @@
         self.size = 0
 
     async def read(self, request: web.Request) -> bytes:
-        """Read the whole body.
+        """Read the complete body.
 
         Raises
         ------
         RequestError
-            BODY_TOO_LARGE, OVERLOADED, or REQUEST_MALFORMED when it came too
-            slowly or broke off.
+            BODY_TOO_LARGE, OVERLOADED, or REQUEST_MALFORMED if the body arrived too
+            slowly or was cut off.
         """
         if (request.content_length or 0) > self.max_bytes:
             raise self.too_large_error()
@@ -62,7 +65,7 @@
         except TimeoutError as error:
             raise RequestError(
                 ResultCode.REQUEST_MALFORMED,
-                f"body: expected within {BODY_READ_TIMEOUT_S} s",
+                f"body: expected it complete within {BODY_READ_TIMEOUT_S} s",
             ) from error
         except (web.RequestPayloadError, ValueError) as error:
             raise RequestError(
@@ -70,7 +73,7 @@
             ) from error
 
     async def read_parts(self, request: web.Request):
-        """Yield the parts of the body as they come."""
+        """Yield the parts of the body as they arrive."""
         async for part in request.content.iter_any():
             if self.size + len(part) > self.max_bytes:
                 raise self.too_large_error()
@@ -79,12 +82,12 @@
             yield part
 
     def too_large_error(self) -> RequestError:
-        """Make the error of a body that is too large."""
+        """Return the error of a body that is too large."""
         return RequestError(
-            ResultCode.BODY_TOO_LARGE, f"expected at most {self.max_bytes} bytes"
+            ResultCode.BODY_TOO_LARGE, f"body: expected at most {self.max_bytes} bytes"
         )
 
     def release(self) -> None:
-        """Count the bytes out."""
+        """Return the body's bytes to the budget."""
         self.budget.reserved -= self.size
         self.size = 0
--- a/src/wisteriapulley/entry/claims.py
+++ b/src/wisteriapulley/entry/claims.py
@@ -1,4 +1,4 @@
-"""Builds claims, and the messages and errors about them."""
+"""Build claims, and the messages and errors about them."""
 
 import time
 
@@ -11,17 +11,17 @@
 
 
 def claim_key(request: CallerRequest) -> ClaimKey:
-    """Return the ledger's key of a request."""
+    """Return the key of a request in the claim ledger."""
     return ClaimKey(request.account, request.key)
 
 
 def next_claim(
     request: CallerRequest, previous: Claim | None, target: str, incarnation: int
 ) -> Claim:
-    """Make the claim that follows `dead`.
+    """Return the claim that follows `previous`.
 
-    Its expiry never gets shorter: a resend with an earlier one would let the
-    ledger forget the key while an attempt may still start.
+    Its expiry is never earlier than that of `previous`. A resend with an earlier
+    expiry would let the ledger drop the key while an attempt may still start.
     """
     number = previous.attempt if previous is not None else 0
     expires_ms = max(
@@ -31,7 +31,11 @@
 
 
 def resolve_message(request: CallerRequest, claim: Claim) -> messages.Resolve:
-    """Build the question; a tombstone lasts as long as either expiry."""
+    """Return the message that asks a target for the outcome of an attempt.
+
+    It carries the later of both expiries, so that a tombstone outlasts the request
+    and the claim.
+    """
     expires_ms = max(request.expires_ms, claim.expires_at_ms)
     return messages.Resolve(
         request.account,
@@ -45,9 +49,11 @@
 
 
 def claim_error(code: ResultCode) -> RequestError:
-    """Make the error of a refused claim."""
+    """Return the error of a claim that the ledger rejected."""
     if code == ResultCode.IDEMPOTENCY_CONFLICT:
-        return RequestError(code, "the key was used with another body")
+        return RequestError(
+            code, "the idempotency key was already used for a different request"
+        )
     if code == ResultCode.REQUEST_EXPIRED:
-        return RequestError(code, "the expiry has passed")
-    return RequestError(code, "the ledger refused the claim", RETRY_AFTER_MS)
+        return RequestError(code, "the expiry of the idempotency key has passed")
+    return RequestError(code, "the claim ledger rejected the claim", RETRY_AFTER_MS)
--- a/src/wisteriapulley/entry/dispatch.py
+++ b/src/wisteriapulley/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends requests to targets and gets their answers."""
+"""Send requests to targets and receive their responses."""
 
 import asyncio
 import itertools
@@ -24,15 +24,15 @@
 
 log = logging.getLogger(__name__)
 
-# Enough to pass a target that closed its gate and one that died beside it.
+# Enough for one target that closed its gate and another that failed meanwhile.
 MAX_ATTEMPTS = 4
 RETRY_AFTER_MS = 1000
-# A link to the only target that holds a service is replaced within this.
+# How long to wait for the replacement of a lost link to a service's only target.
 RELINK_TIMEOUT_S = 1.0
 RELINK_POLL_INTERVAL_S = 0.05
 HTTP_UNAVAILABLE = 503
 RESUMED_HEADER = "x-resumed-from"
-# Codes that another target can't better.
+# Codes for which another target would give no better result.
 NOT_RETRYABLE_CODES = frozenset(
     (ResultCode.DEADLINE_EXCEEDED, ResultCode.MAY_HAVE_RUN, ResultCode.OVERLOADED)
 )
@@ -43,9 +43,9 @@
 
 
 class AnswerRange(NamedTuple):
-    """What of an answer is asked for: bytes from `start`, of `version` only.
+    """Part of an answer to request: bytes from `start` on, of `version` only.
 
-    An empty version leaves the choice to the target.
+    An empty version accepts whichever version the target serves.
     """
 
     start: int
@@ -56,7 +56,7 @@
 
 
 class OpenAnswer(NamedTuple):
-    """Answer whose head has come, and the call that brings its parts."""
+    """Received head of an answer, and the call that delivers its parts."""
 
     head: messages.AnswerHead
     call: Call
@@ -68,7 +68,7 @@
     Parameters
     ----------
     placer : Placer
-        Queues requests and chooses their targets.
+        Queues requests and assigns them to targets.
     """
 
     def __init__(self, placer: Placer):
@@ -76,12 +76,13 @@
         self.retry_budget = RetryBudget()
 
     async def run(self, request: CallerRequest) -> Answer:
-        """Try targets until one answers, within budget and deadline.
+        """Try targets until one responds, within retry budget and deadline.
 
         Raises
         ------
         RequestError
-            Refused or failed. It says "not run" only when no attempt ran.
+            The request was refused or failed. The code says "not run" only if no
+            attempt has run.
         """
         self.retry_budget.admitted()
         uncertain_error = None
@@ -99,7 +100,7 @@
                 if not self.may_retry(request, error, attempt):
                     raise uncertain_error or error from error
                 log.info(
-                    "retry: %s",
+                    "retrying after a failed attempt: %s",
                     error,
                     extra=fields(request.request_id, code=error.code),
                 )
@@ -111,10 +112,11 @@
         avoid: set[str],
         uncertain_error: WisteriapulleyError | None,
     ) -> Slot:
-        """Wait for a place at a target.
+        """Wait for a slot at a target.
 
-        After a lost link the only target may be the one behind it: then this
-        may_relink a moment for the link's replacement.
+        After an attempt failed with its link, the service's only target may be the
+        one behind that link. In that case, wait up to `RELINK_TIMEOUT_S` for the
+        link's replacement.
         """
         relink_deadline_s = time.monotonic() + RELINK_TIMEOUT_S
         while True:
@@ -132,22 +134,22 @@
     def may_retry(
         self, request: CallerRequest, error: WisteriapulleyError, attempt: int
     ) -> bool:
-        """Tell whether another target may be tried.
+        """Return whether another target may be tried.
 
-        The budget keeps retries at a tenth of what is admitted, so that a
-        failing service sees its load grow by a tenth and not by the attempts.
+        The budget limits retries to a tenth of the admitted requests. The load of
+        a failing service then grows by a tenth instead of by `MAX_ATTEMPTS` times.
         """
         if attempt == MAX_ATTEMPTS or error.code in NOT_RETRYABLE_CODES:
             return False
         return request.remaining_s > 0 and self.retry_budget.spend()
 
     async def send(self, request: CallerRequest, slot: Slot, attempt: int) -> Answer:
-        """Dispatch to one target; return once the answer's head is there."""
+        """Dispatch to one target and return when the answer's head arrives."""
         try:
             opened = await self.open_call(request, slot, attempt, slot.incarnation)
             if opened.head.status == HTTP_UNAVAILABLE and not request.key:
                 self.cancel(opened.call, request)
-                raise RequestError(ResultCode.TARGET_FAILED, "the target answered 503")
+                raise RequestError(ResultCode.TARGET_FAILED, "the target returned 503")
         except BaseException as error:
             slot.release(ok=False, cancelled=isinstance(error, asyncio.CancelledError))
             raise
@@ -156,7 +158,7 @@
     def make_answer(
         self, request: CallerRequest, opened: OpenAnswer, slot: Slot, attempt: int
     ) -> Answer:
-        """Make the answer of an opened call."""
+        """Return the answer of an opened call."""
 
         def abandon() -> None:
             slot.release(ok=False, cancelled=True)
@@ -181,14 +183,21 @@
         Raises
         ------
         NotSentError
-            The link is gone, or leads to another incarnation by now.
+            The deadline has passed, or the link is closed or now leads to another
+            incarnation.
         """
         link = slot.link
         if link is None or link.peer.incarnation != incarnation:
-            raise NotSentError(ResultCode.NO_TARGET, "the link closed", RETRY_AFTER_MS)
+            raise NotSentError(
+                ResultCode.NO_TARGET,
+                "the link to the target closed before the request was sent",
+                RETRY_AFTER_MS,
+            )
         remaining_s = request.remaining_s
         if remaining_s <= 0:
-            raise NotSentError(ResultCode.DEADLINE_EXCEEDED, "before dispatch")
+            raise NotSentError(
+                ResultCode.DEADLINE_EXCEEDED, "the deadline passed before dispatch"
+            )
         message = dispatch_message(
             request, attempt, incarnation, remaining_s, answer_range
         )
@@ -206,7 +215,7 @@
         return OpenAnswer(head, call)
 
     async def read_head(self, request: CallerRequest, call: Call):
-        """Wait for the answer's head until the deadline."""
+        """Wait for the answer's head, at most until the deadline."""
         try:
             frame = await next_reply(call, request.request_id, request.remaining_s)
         except WireError as error:
@@ -216,24 +225,27 @@
     def as_deadline_error(
         self, request: CallerRequest, error: WisteriapulleyError
     ) -> WisteriapulleyError:
-        """Turn a timeout of the link into the passing of the deadline."""
+        """Turn a timeout of the link into DEADLINE_EXCEEDED."""
         if error.code != ResultCode.LINK_TIMEOUT:
             return error
         if request.key:
             return RequestError(
                 ResultCode.DEADLINE_EXCEEDED,
-                "it may still run: send the same key again for its answer",
+                "the request may still run; send the same key again to get its"
+                " response",
                 RETRY_AFTER_MS,
             )
-        return RequestError(ResultCode.DEADLINE_EXCEEDED, "while it ran")
+        return RequestError(
+            ResultCode.DEADLINE_EXCEEDED, "the deadline passed while the request ran"
+        )
 
     async def read_resumable_parts(
         self, request: CallerRequest, opened: OpenAnswer, slot: Slot, attempt: int
     ) -> AsyncIterator[bytes]:
-        """Yield the answer's parts; take the request off when given up.
+        """Yield the answer's parts; cancel the request if the caller gives up.
 
-        An engine that says it can resume is asked once, at another target, for
-        what follows the last byte that came.
+        If the answer breaks off and its engine supports resumption, ask another
+        target once for the bytes after the last one received.
         """
         sent = 0
         try:
@@ -261,7 +273,7 @@
     async def read_call_parts(
         self, request: CallerRequest, opened: OpenAnswer
     ) -> AsyncIterator[bytes]:
-        """Yield parts; a call that ends early is taken off its target."""
+        """Yield the parts of one call; cancel the request if the call ends early."""
         call = opened.call
         try:
             async for part in read_parts(call, request.request_id):
@@ -279,9 +291,15 @@
         sent: int,
         error: WisteriapulleyError,
     ) -> Answer | None:
-        """Ask another target for the rest of a cut answer; None if it can't.
+        """Request the rest of a cut answer from another target.
+
+        An answer whose engine changed its version can't be resumed, because the
+        bytes received may come from two versions.
 
-        One whose engine changed its version has no rest: what came is mixed.
+        Returns
+        -------
+        Answer or None
+            None if the answer can't be resumed.
         """
         can_resume = find_header(head, "x-resumable") and not request.key
         if error.code == ResultCode.ENGINE_WRONG_DIGEST:
@@ -313,7 +331,7 @@
         return self.make_answer(request, opened, other_slot, MAX_ATTEMPTS)
 
     def cancel(self, call: Call, request: CallerRequest) -> None:
-        """Forget a call that is not whole and take its request off the target."""
+        """Close a call that is incomplete and cancel its request at the target."""
         if call.id not in call.link.calls:
             return
         call.close()
@@ -322,17 +340,17 @@
 
 
 def find_header(head: messages.AnswerHead, name: str) -> str:
-    """Return a header of an answer, or empty."""
+    """Return a header of an answer, or an empty string."""
     return next((h.value for h in head.headers if h.name.lower() == name), "")
 
 
 def may_have_run(error: WisteriapulleyError) -> bool:
-    """Tell whether a failed attempt may have run at its target."""
+    """Return whether a failed attempt may have run at its target."""
     return not isinstance(error, NotSentError) and not CODE_TABLE[error.code].not_run
 
 
 def expires_in_ms(request: CallerRequest) -> int:
-    """Return how long a keyed request may still start."""
+    """Return how long a keyed request may still start, in milliseconds."""
     if not request.key:
         return 0
     return max(0, request.expires_ms - time.time_ns() // 1_000_000)
@@ -345,7 +363,7 @@
     remaining_s: float,
     answer_range: AnswerRange,
 ) -> messages.Dispatch:
-    """Build the frame that carries a request to a sidecar."""
+    """Return the message that carries a request to a sidecar."""
     entry = request.entry
     return messages.Dispatch(
         request.request_id,
--- a/src/wisteriapulley/entry/metrics.py
+++ b/src/wisteriapulley/entry/metrics.py
@@ -1,10 +1,10 @@
-"""What an entry measures, by client account and class."""
+"""Request metrics of an entry, by client account and traffic class."""
 
 from wisteriapulley.metrics import Metrics
 
-# Series for each account: a usual fleet has about 10 accounts, a few of
-# them large. Accounts are callers' text, and invented ones must not grow the
-# page without end; the rest are counted together.
+# Each account has its own series; a usual fleet has about 10 accounts, a few of them
+# large. Callers choose the account names, so the number of series is bounded and
+# further accounts are counted together.
 MAX_ACCOUNTS = 64
 OTHER_ACCOUNTS = "other"
 
@@ -26,7 +26,7 @@
         )
 
     def account_label(self, account: str, admitted: bool) -> str:
-        """Return the label of an account; only admitted ones get their own."""
+        """Return the label of an account; only admitted accounts get their own."""
         if account in self.accounts:
             return account
         if admitted and len(self.accounts) < self.max_accounts:
@@ -37,7 +37,7 @@
     def record_response(
         self, account: str, traffic_class: str, code: int, seconds: float
     ) -> None:
-        """Count a request's end; `code` 0 is a whole answer."""
+        """Record the end of a request; `code` 0 means a complete response."""
         label = self.account_label(account, code == 0)
         labels = {"account": label, "class": traffic_class}
         self.requests.inc({**labels, "code": str(code)})
@@ -46,6 +46,6 @@
     def record_first_part(
         self, account: str, traffic_class: str, seconds: float
     ) -> None:
-        """Count the time to an answer's head."""
+        """Record the time to the head of a response."""
         label = self.account_label(account, True)
         self.first_part.add({"account": label, "class": traffic_class}, seconds)
--- a/src/wisteriapulley/entry/placing.py
+++ b/src/wisteriapulley/entry/placing.py
@@ -1,4 +1,4 @@
-"""Runs the scheduler of each service: waits for a place at a target."""
+"""Run the scheduler of each service: queue requests and assign them to targets."""
 
 import asyncio
 import itertools
@@ -13,14 +13,15 @@
 from wisteriapulley.policy import LeastOutstanding, Scheduler, TargetView, Work
 from wisteriapulley.wire import Link
 
-# Slow targets are looked for, and places opened by others found, this often.
+# Interval at which slow targets are detected, and slots found that the requests of
+# other entries have freed.
 SWEEP_INTERVAL_S = 0.1
-# A place is free when a target says so; its news lags by up to a heartbeat.
+# Free slots are seen in the targets' heartbeats, which lag by up to one interval.
 RETRY_AFTER_MS = 1000
 
 
 class Slot:
-    """A place at a target, held by one request until it is released."""
+    """A slot at a target, held by one request until it is released."""
 
     def __init__(self, pool: "ServicePool", work: Work, target: Target):
         self.pool = pool
@@ -38,7 +39,7 @@
         return self.target.link
 
     def release(self, ok: bool, cancelled: bool = False) -> None:
-        """Give the place back; only the first call counts."""
+        """Release the slot; every call after the first does nothing."""
         if not self.held:
             return
         self.held = False
@@ -47,7 +48,7 @@
 
 
 class ServicePool:
-    """Requests of one service, waiting and running."""
+    """Queued and running requests of one service."""
 
     def __init__(self, targets: Targets, rng: random.Random):
         self.targets = targets
@@ -62,12 +63,13 @@
     async def acquire(
         self, work: Work, entry: Entry, avoid: set[str], version: str = ""
     ) -> Slot:
-        """Wait for a place.
+        """Wait for a slot.
 
         Raises
         ------
         RequestError
-            Refused at once, or as soon as it can no longer be in time.
+            The request was refused, at once or as soon as it can no longer meet
+            its deadline.
         """
         self.entry = entry
         views = self.views(avoid, version)
@@ -83,25 +85,27 @@
     def place_retry(
         self, work: Work, views: list[TargetView], limit: int, now_s: float
     ) -> str:
-        """Place a retry: it has waited before and does not queue again."""
+        """Assign a retry to a target without queueing it a second time."""
         room = self.scheduler.room(views, limit)
         if not room:
             code = ResultCode.OVERLOADED if views else ResultCode.NO_TARGET
-            raise RequestError(code, "no other target has room", RETRY_AFTER_MS)
+            raise RequestError(code, "no other target has a free slot", RETRY_AFTER_MS)
         return self.scheduler.place(work, room, now_s)
 
     def take_slot(self, work: Work, node_id: str) -> Slot:
-        """Take the place that was decided."""
+        """Return the slot at the target that the scheduler chose."""
         target = self.targets.targets.get(node_id)
         if target is None:
             self.scheduler.finish(work.id, False, time.monotonic())
             raise RequestError(
-                ResultCode.NO_TARGET, f"{node_id!r} has gone", RETRY_AFTER_MS
+                ResultCode.NO_TARGET,
+                f"target {node_id!r} is no longer connected",
+                RETRY_AFTER_MS,
             )
         return Slot(self, work, target)
 
     async def wait_in_queue(self, work: Work) -> Slot:
-        """Wait in the queue until started, refused or too late."""
+        """Wait in the queue for a slot, or until the deadline can't be met."""
         future = asyncio.get_running_loop().create_future()
         self.queued_futures[work.id] = future
         remaining_s = work.deadline_s - time.monotonic()
@@ -120,12 +124,12 @@
             self.scheduler.remove(work)
 
     def finish(self, work: Work, ok: bool) -> None:
-        """Take in that a request has left its target; start others."""
+        """Record that a request has left its target and start queued ones."""
         self.scheduler.finish(work.id, ok, time.monotonic())
         self.start_queued()
 
     def start_queued(self) -> None:
-        """Start queued requests while there is room."""
+        """Start queued requests while slots are free."""
         if not self.queued_futures or self.entry is None:
             return
         limit = self.entry.limits.in_flight
@@ -139,34 +143,36 @@
                 future.set_result(self.take_slot(start.work, start.node_id))
 
     def sweep(self) -> None:
-        """Look for slow targets and for room that others left."""
+        """Detect slow targets and use slots that other entries have freed."""
         self.scheduler.suspect(time.monotonic())
         self.scheduler.outliers.keep(self.targets.targets)
         self.start_queued()
 
 
 def release_granted_slot(future: asyncio.Future) -> None:
-    """Release a place that was given in the moment its waiter gave up."""
+    """Release a slot that was granted at the moment its waiter gave up."""
     if future.done() and not future.cancelled() and not future.exception():
         future.result().release(ok=False, cancelled=True)
 
 
 def queue_deadline_error() -> RequestError:
-    """Make the error of a queued request that can't be in time any more."""
+    """Return the error of a queued request that can't meet its deadline any more."""
     return RequestError(
-        ResultCode.OVERLOADED, "its place in the queue came too late", RETRY_AFTER_MS
+        ResultCode.OVERLOADED,
+        "no slot became free early enough to meet the deadline",
+        RETRY_AFTER_MS,
     )
 
 
 class Placer:
-    """Places requests: one scheduler for each service.
+    """Assigns requests to targets, with one scheduler for each service.
 
     Parameters
     ----------
     targets : Targets
-        Linked targets.
+        The targets that this entry has links to.
     rng : random.Random
-        For ties.
+        Breaks ties between targets.
     """
 
     def __init__(self, targets: Targets, rng: random.Random):
@@ -178,14 +184,14 @@
     async def acquire(
         self, request: CallerRequest, avoid: set[str], version: str = ""
     ) -> Slot:
-        """Wait for a place at a target of the request's service.
+        """Wait for a slot at a target of the request's service.
 
-        With `version`, only at one that is open with it.
+        If `version` is given, only targets that serve that version count.
 
         Raises
         ------
         RequestError
-            NO_TARGET or OVERLOADED; it did not run.
+            NO_TARGET or OVERLOADED; the request did not run.
         """
         entry = request.entry
         pool = self.pools.get(entry.service)
@@ -202,7 +208,7 @@
         return await pool.acquire(work, entry, avoid, version)
 
     async def sweep_forever(self) -> None:
-        """Sweep for ever."""
+        """Sweep every pool at a fixed interval until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             for pool in self.pools.values():
--- a/src/wisteriapulley/entry/request.py
+++ b/src/wisteriapulley/entry/request.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP requests, parsed and checked."""
+"""Parse and check callers' HTTP requests."""
 
 import re
 import time
@@ -21,14 +21,15 @@
 COMPLETIONS_PATH = "/v1/completions"
 SERVICE_PREFIX = "/services/"
 MAX_NUMBER_CHARACTERS = 19
-# What engines make when the body does not say.
+# Number of tokens that engines generate if the body has no `max_tokens`.
 DEFAULT_MAX_TOKENS = 16
 MAX_KEY_CHARACTERS = 255
 MAX_ACCOUNT_CHARACTERS = 128
-# Longest deadline a caller may ask for; as the longest expiry of a key.
+# Longest timeout a caller may request, equal to the longest expiry of a key.
 MAX_TIMEOUT_MS = MAX_EXPIRY_MS
-# aiohttp sends these again by itself when a kept connection turns out closed,
-# so a non-idempotent class takes only the methods that it never repeats.
+# aiohttp repeats requests of idempotent methods by itself if a kept-alive connection
+# turns out to be closed. A non-idempotent class accepts only methods that it never
+# repeats.
 KEYED_METHODS = ("POST", "PATCH")
 PRINTABLE = re.compile(r"[!-~]+")
 FORWARDED_HEADERS = ("Content-Type", "Accept")
@@ -40,26 +41,27 @@
     Attributes
     ----------
     request_id : str
-        Made here; on every frame and log line.
+        Generated here; part of every frame and log line about the request.
     account : str
         Client account, set by the platform's balancer.
     entry : Entry
-        Catalogue entry that rules it.
+        Catalogue entry that applies to the request.
     method, path : str
-        At the target.
+        Method and path at the target.
     headers : tuple of (str, str)
-        That go on to the target.
+        Headers that are forwarded to the target.
     body : bytes
     key : str
         Idempotency key, or empty.
     expires_ms : int
-        Unix time in milliseconds after which it may not start; 0 without key.
+        Unix time in milliseconds after which the request may not start; 0 without
+        a key.
     deadline_s : float
-        Monotonic time by which the answer must be there.
+        Monotonic time by which the response must be complete.
     resend : bool
-        The caller says that it sent this key before.
+        Whether the caller declares that it sent this key before.
     units : float
-        What it asks for: tokens of a model, bytes of a plain service.
+        Size of the request: tokens of a model, bytes of a plain service.
     """
 
     request_id: str
@@ -77,18 +79,18 @@
 
     @property
     def remaining_s(self) -> float:
-        """Seconds that are left; below 0 past the deadline."""
+        """Seconds until the deadline; negative after it."""
         return self.deadline_s - time.monotonic()
 
     def digest(self) -> bytes:
-        """Return a digest of what a resend must repeat."""
+        """Return a digest of the parts that a resend must repeat."""
         parts = (self.entry.name, self.method, self.path)
         text = "\0".join(parts).encode() + b"\0" + self.body
         return blake3(text).digest()
 
 
 class ModelFields(msgspec.Struct):
-    """The fields of a completions body that matter here."""
+    """Fields of a completions body that the entry reads."""
 
     model: str
     max_tokens: int | None = None
@@ -100,7 +102,7 @@
     Raises
     ------
     RequestError
-        UNKNOWN_MODEL.
+        UNKNOWN_MODEL: the catalogue has no such entry.
     """
     stored = entries.get(name)
     if stored is None:
@@ -111,7 +113,7 @@
 
 
 def parse_timeout_s(request: web.Request, entry: Entry) -> float:
-    """Return the caller's timeout in seconds, or the entry's."""
+    """Return the caller's timeout in seconds, or the catalogue entry's."""
     text = request.headers.get(TIMEOUT_HEADER, str(entry.limits.deadline_ms))
     if not is_number(text) or not 0 < int(text) <= MAX_TIMEOUT_MS:
         raise RequestError(
@@ -123,7 +125,7 @@
 
 
 def is_number(text: str) -> bool:
-    """Tell whether a header is a whole number of a sane length."""
+    """Return whether a header is a whole number of bounded length."""
     return text.isascii() and text.isdigit() and len(text) < MAX_NUMBER_CHARACTERS
 
 
@@ -133,7 +135,7 @@
     Raises
     ------
     RequestError
-        The class needs them and they are missing or malformed.
+        The traffic class requires them and they are missing or malformed.
     """
     if entry.idempotent:
         return "", 0
@@ -180,13 +182,13 @@
 def parse_target(
     request: web.Request, body: bytes, entries: dict
 ) -> tuple[Entry, str, float]:
-    """Return the catalogue entry, the path at the target and the units asked for.
+    """Return the catalogue entry, the path at the target and the request's units.
 
     Raises
     ------
     RequestError
-        UNKNOWN_MODEL, also for a model named as a plain service: its engine's
-        other paths are not for callers.
+        UNKNOWN_MODEL, also if a model is addressed as a plain service: callers
+        must not reach the other paths of its engine.
     """
     if request.path == COMPLETIONS_PATH:
         fields = parse_model(body)
@@ -211,7 +213,7 @@
     Raises
     ------
     RequestError
-        It is malformed; the code says that it did not run.
+        The request is malformed; the code says that it did not run.
     """
     account = parse_account(request)
     entry, path, units = parse_target(request, body, entries)
@@ -239,7 +241,7 @@
 
 
 def parse_model(body: bytes) -> ModelFields:
-    """Return the fields of a completions body that matter here."""
+    """Return the fields of a completions body that the entry reads."""
     try:
         return msgspec.json.decode(body, type=ModelFields)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
--- a/src/wisteriapulley/entry/service.py
+++ b/src/wisteriapulley/entry/service.py
@@ -43,12 +43,12 @@
 RETRY_AFTER_MS = 1000
 HTTP_UNAVAILABLE = 503
 EVENT_STREAM = "text/event-stream"
-# How long a caller that does not read may hold up the end of its answer.
+# How long a caller that does not read may delay the end of a cut response.
 ERROR_EVENT_TIMEOUT_S = 1.0
 
 
 class EntryService(aiomisc.Service):
-    """One entry.
+    """The entry service of one process.
 
     Parameters
     ----------
@@ -70,11 +70,11 @@
 
     @classmethod
     def from_settings(cls, settings: EntrySettings) -> "EntryService":
-        """Make the service from checked settings."""
+        """Return a service with these settings, which are already checked."""
         return cls(settings)
 
     async def start(self) -> None:
-        """Watch the catalogue, link to targets, and listen."""
+        """Watch the catalogue, open links to targets, and listen."""
         settings = self.settings
         self.identity = Identity.from_settings(settings, "entry")
         self.incarnation = self.identity.incarnation
@@ -117,28 +117,28 @@
         )
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Take no new request, finish those in progress, then close."""
+        """Refuse new requests, finish those in progress, then close."""
         self.leaving = True
         try:
             async with asyncio.timeout(self.settings.drain_ms / 1000):
                 await self.idle.wait()
         except TimeoutError:
-            log.error("requests were still running after drain_ms")
+            log.error("requests still running after drain_ms; closing anyway")
         self.sweep_task.cancel()
         await self.http.stop()
         await self.targets.stop()
         await self.control.stop()
 
     def is_ready(self) -> bool:
-        """Ready with a confirmed catalogue, and not leaving."""
+        """Return whether the catalogue is confirmed and the entry is not leaving."""
         return self.control.holder.confirmed and not self.leaving
 
     def heartbeat(self) -> messages.Heartbeat:
-        """Make this entry's heartbeat."""
+        """Return this entry's heartbeat."""
         return messages.Heartbeat(self.control.holder.revision, self.leaving, "open")
 
     def members_changed(self) -> None:
-        """Follow the members."""
+        """Update the links after the member list changed."""
         self.targets.members_changed()
 
     def report(self) -> None:
@@ -155,19 +155,19 @@
         )
 
     async def handle(self, link: Link, frame: Frame) -> None:
-        """Answer a target that is behind; refuse anything else."""
+        """Send the catalogue to a target that is behind; reject other messages."""
         if isinstance(frame.message, messages.Watch):
             link.post(self.control.holder.update(), reply_to=frame.id)
             return
         raise WireError(
             ResultCode.UNEXPECTED_MESSAGE,
-            f"entry takes no {type(frame.message).__name__}",
+            f"entry does not accept {type(frame.message).__name__}",
         )
 
     # -- requests --------------------------------------------------------
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
-        """Serve one caller."""
+        """Serve one request of a caller."""
         self.request_started()
         started_s = time.monotonic()
         caller = None
@@ -188,7 +188,7 @@
             self.record_request(caller, code, started_s)
 
     def check_ready(self) -> None:
-        """Refuse while this entry may not take work."""
+        """Raise an error while this entry must not accept requests."""
         if not self.is_ready():
             code = ResultCode.LEAVING if self.leaving else ResultCode.NO_TARGET
             raise RequestError(code, "this entry is not ready", RETRY_AFTER_MS)
@@ -196,7 +196,7 @@
     async def answer(
         self, request: web.Request, caller: CallerRequest, started_s: float
     ) -> web.StreamResponse:
-        """Admit, dispatch, and pass the answer on."""
+        """Admit and dispatch the request, and forward its answer."""
         answer = await self.run(caller, started_s)
         self.request_metrics.record_first_part(
             caller.account,
@@ -226,7 +226,7 @@
     async def forward(
         self, request: web.Request, caller: CallerRequest, answer: Answer
     ) -> web.StreamResponse:
-        """Write the answer; a cut one ends with an aborted connection."""
+        """Write the answer; if it is cut off, abort the connection."""
         response = self.make_response(caller, answer.head)
         await response.prepare(request)
         try:
@@ -236,7 +236,8 @@
                 await response.write_eof()
         except TimeoutError as error:
             timeout_error = RequestError(
-                ResultCode.DEADLINE_EXCEEDED, "while the answer was on its way"
+                ResultCode.DEADLINE_EXCEEDED,
+                "the deadline passed while the response was being sent",
             )
             await self.abort_response(request, caller, response, timeout_error)
             raise timeout_error from error
@@ -248,14 +249,15 @@
     def make_response(
         self, caller: CallerRequest, head: messages.AnswerHead
     ) -> web.StreamResponse:
-        """Make the response that carries an answer."""
+        """Return the HTTP response that carries an answer."""
         response = web.StreamResponse(status=head.status)
         for header in head.headers:
             response.headers[header.name] = header.value
         response.headers["X-Request-Id"] = caller.request_id
         response.headers["X-Result-Code"] = "0"
-        # No Content-Length: a caller would take the answer as whole at its last
-        # byte, before the end mark has vouched for it. The last chunk comes after.
+        # No Content-Length: a caller would accept the response as complete at its
+        # last byte, before the end mark confirms it. The final chunk of the chunked
+        # encoding is sent after that.
         return response
 
     async def abort_response(
@@ -265,9 +267,10 @@
         response: web.StreamResponse,
         error: WisteriapulleyError,
     ) -> None:
-        """End an answer that can't be whole: an error event, then an abort.
+        """End an incomplete response with an error event and a closed connection.
 
-        Without its last chunk or its full length no client takes it as whole.
+        Without the final chunk or the full length no client accepts the response as
+        complete.
         """
         log.warning(
             "answer cut: %s", error, extra=fields(caller.request_id, code=error.code)
@@ -278,18 +281,18 @@
                 async with asyncio.timeout(ERROR_EVENT_TIMEOUT_S):
                     await response.write(event)
             except (TimeoutError, ConnectionError):
-                log.info("the caller reads no error event")
+                log.info("the caller did not read the error event")
         if request.transport is not None:
-            # Closing still sends what was written, without the last chunk.
+            # Closing still sends what was written, but not the final chunk.
             request.transport.close()
 
     def request_started(self) -> None:
-        """Count a request in."""
+        """Count a started request."""
         self.running += 1
         self.idle.clear()
 
     def request_ended(self) -> None:
-        """Count a request out."""
+        """Count an ended request."""
         self.running -= 1
         if self.running == 0:
             self.idle.set()
@@ -297,14 +300,14 @@
     def record_request(
         self, caller: CallerRequest | None, code: ResultCode, started_s: float
     ) -> None:
-        """Count and log a request's end."""
+        """Record the end of a request in metrics and log."""
         account = caller.account if caller is not None else ""
         kind = caller.entry.traffic_class if caller is not None else ""
         self.request_metrics.record_response(
             account, kind, int(code), time.monotonic() - started_s
         )
         log.info(
-            "request",
+            "request ended",
             extra=fields(
                 caller.request_id if caller is not None else "",
                 self.control.holder.revision,
@@ -316,7 +319,10 @@
 
 
 def with_retry_after(error: WisteriapulleyError) -> WisteriapulleyError:
-    """Say when to come back if the error, a lost link's perhaps, does not."""
+    """Return the error with a retry delay if its code maps to HTTP 503.
+
+    Some errors, such as that of a lost link, have no delay of their own.
+    """
     if (
         CODE_TABLE[error.code].http_status == HTTP_UNAVAILABLE
         and not error.retry_after_ms
--- a/src/wisteriapulley/entry/targets.py
+++ b/src/wisteriapulley/entry/targets.py
@@ -1,4 +1,4 @@
-"""Links of an entry to the targets it may send requests to."""
+"""Links of an entry to the targets that it sends requests to."""
 
 import asyncio
 import time
@@ -14,11 +14,13 @@
 from wisteriapulley.wire.handshake import Identity
 from wisteriapulley.wire.keeper import LinkKeeper
 
-# New work stops after this many heartbeats without a frame.
+# A target gets no new requests after this many heartbeat intervals without a frame.
 UNRESPONSIVE_AFTER_HEARTBEATS = 2.0
-# A link opened to ask about a claim is kept this long, for its answer.
+# How long a link opened to resolve a claim stays open after its last use, so that the
+# response can arrive over it.
 CLAIM_LINK_IDLE_S = 30.0
-# A starting entry may know a claim's target before control named it here.
+# A starting entry may find a target in a claim before it receives the member list.
+# Until this time has passed, a target that is not listed does not count as gone.
 STARTUP_GRACE_S = 3.0
 
 
@@ -28,20 +30,23 @@
     Attributes
     ----------
     in_flight : int
-        Requests of this entry that it holds.
+        In-flight requests of this entry at the target.
     in_flight_at_report : int
-        The most of them since the heartbeat before the last one: what the last
-        may have counted. A report crosses answers on their way, and one taken
-        for another entry's request would leave a place empty for a heartbeat.
+        Maximum of `in_flight` in the interval before the last heartbeat, which is
+        what that heartbeat may have counted. Answers may arrive while a heartbeat
+        is under way; if it were compared with a lower count, an ended request of
+        this entry would be taken for another entry's, and a slot would stay empty
+        until the next heartbeat.
     peak : int
-        The most of them since the last heartbeat.
+        Maximum of `in_flight` since the last heartbeat.
     gone : bool
-        Control no longer names it; it serves on while its link beats.
+        Whether the member list no longer contains the target. It is used as long
+        as heartbeats arrive on its link.
     displaced : bool
-        Others stand before it in this entry's subset: it gets no new work and
-        its link closes once it is idle.
+        Whether the target is outside this entry's subset. It gets no new requests,
+        and its link closes when it is idle.
     asked_s : float
-        When it was last asked about a claim.
+        Time when the target was last asked about a claim.
     """
 
     def __init__(self, member: messages.Announce, keeper: LinkKeeper):
@@ -56,16 +61,16 @@
 
     @property
     def link(self) -> Link | None:
-        """The open link, if there is one."""
+        """The open link, or None."""
         return self.keeper.open_link
 
     def add_request(self) -> None:
-        """Count a request of this entry in."""
+        """Count a request that this entry sends to the target."""
         self.in_flight += 1
         self.peak = max(self.peak, self.in_flight)
 
     def view(self) -> TargetView:
-        """Return what placement needs to know of it."""
+        """Return the state of the target that the placement policy needs."""
         return TargetView(
             self.member.node_id,
             self.in_flight,
@@ -74,22 +79,22 @@
         )
 
     def is_unresponsive(self, silence_limit_s: float) -> bool:
-        """Tell whether nothing came from it for so long."""
+        """Return whether nothing arrived from it for longer than the limit."""
         silence_s = asyncio.get_running_loop().time() - self.link.last_received
         return silence_s > silence_limit_s
 
     def accepts(self, entry: Entry, version: str = "") -> bool:
-        """Tell whether it takes requests of an entry, by its own heartbeats.
+        """Return whether it accepts requests of an entry, by its own heartbeats.
 
-        Whichever accepted version it is open with will do: while hundreds of
-        targets still copy a new version, the one before goes on answering.
+        Any accepted version that the target is open with counts: while hundreds of
+        targets still download a new version, the previous one keeps serving.
 
         Parameters
         ----------
         entry : Entry
-            Whose request it is.
+            Catalogue entry of the request.
         version : str, optional
-            The only version that will do, for the rest of a cut answer.
+            The only version to accept, for the rest of a cut answer.
         """
         link = self.link
         if link is None or self.member.leaving or self.outside_subset:
@@ -102,7 +107,7 @@
         return bool(heartbeat.version) == bool(entry.version)
 
     def may_close(self, now_s: float) -> bool:
-        """Tell whether its link may close."""
+        """Return whether its link may be closed."""
         if self.unlisted:
             return self.link is None and self.in_flight == 0
         idle = self.in_flight == 0 and now_s - self.last_queried_s > CLAIM_LINK_IDLE_S
@@ -110,10 +115,11 @@
 
 
 class Targets:
-    """Targets by service.
+    """The targets of an entry, of all services.
 
-    Each entry links to a bounded subset, chosen by rendezvous hash: at 330
-    entries and 1,000 sidecars every-to-every would be 330,000 links.
+    Each entry opens links to a bounded subset of a service's targets, chosen by
+    rendezvous hashing. A full mesh of 330 entries and 1,000 sidecars would have
+    330,000 links.
     """
 
     def __init__(
@@ -133,10 +139,11 @@
         self.started_s = time.monotonic()
 
     def members_changed(self) -> None:
-        """Follow the members that control tells of.
+        """Update the links after the member list changed.
 
-        What control no longer names is not cut off: control itself may have
-        restarted. The link's own heartbeats decide.
+        The link to a target that is no longer listed stays open, because the
+        control instances themselves may have restarted. The heartbeats on the link
+        decide.
         """
         chosen = dict(self.choose_subset())
         for name, target in tuple(self.targets.items()):
@@ -153,14 +160,14 @@
         self.close_unused()
 
     def close_unused(self) -> None:
-        """Close the links that nothing needs any more."""
+        """Close the links that are no longer needed."""
         now_s = time.monotonic()
         for name, target in tuple(self.targets.items()):
             if target.may_close(now_s):
                 self.drop(name)
 
     def choose_subset(self) -> Iterator[tuple[str, messages.Announce]]:
-        """Yield the members that this entry links to."""
+        """Yield the members in this entry's subset, by node id."""
         services: dict[str, list[messages.Announce]] = {}
         for member in self.control.members.values():
             if member.role == "sidecar":
@@ -186,17 +193,17 @@
         return target
 
     def drop(self, name: str) -> None:
-        """Close the link to a member that is gone."""
+        """Remove a target and close its link."""
         target = self.targets.pop(name)
         task = asyncio.get_running_loop().create_task(target.keeper.stop())
         task.add_done_callback(lambda done: done.exception())
 
     async def link_opened(self, link: Link) -> None:
-        """Listen to the heartbeats of a target."""
+        """Subscribe to the heartbeats of a target."""
         link.on_heartbeat = self.observe_heartbeat
 
     def observe_heartbeat(self, link: Link) -> None:
-        """Take in a heartbeat: load as of now, and the target's revision."""
+        """Record a heartbeat: the target's current load and catalogue revision."""
         target = self.targets.get(link.peer_id)
         if target is not None:
             target.in_flight_at_report = target.peak
@@ -206,10 +213,11 @@
     def views(
         self, entry: Entry, avoid: Container[str] = (), version: str = ""
     ) -> list[TargetView]:
-        """Return the targets that may take a request of an entry now.
+        """Return the targets that may get a request of an entry now.
 
-        One that has been quiet may be leaving or cut off without our hearing
-        of it, so it gets new work only when all are: then the quiet is ours.
+        An unresponsive target may be leaving or disconnected without this entry
+        knowing it. It gets new requests only if all targets are unresponsive, since
+        then the fault is probably at this entry.
         """
         silence_limit_s = (
             UNRESPONSIVE_AFTER_HEARTBEATS * self.settings.heartbeat_ms / 1000
@@ -230,12 +238,12 @@
         return [target.view() for target in responsive or open_targets]
 
     def claim_link(self, name: str, incarnation: int) -> Link | None:
-        """Return the link to the target of a claim; None while it opens.
+        """Return the link to the target of a claim, or None while it opens.
 
         Raises
         ------
         RequestError
-            MAY_HAVE_RUN: that incarnation of the target is gone for good.
+            MAY_HAVE_RUN: that incarnation of the target no longer exists.
         """
         member = self.control.members.get(name)
         target = self.targets.get(name)
@@ -247,12 +255,16 @@
             target.last_queried_s = time.monotonic()
         if link is not None:
             if link.peer.incarnation != incarnation:
-                raise RequestError(ResultCode.MAY_HAVE_RUN, f"{name!r} has restarted")
+                raise RequestError(
+                    ResultCode.MAY_HAVE_RUN, f"target {name!r} restarted"
+                )
             return link
         if member is None and time.monotonic() - self.started_s > STARTUP_GRACE_S:
-            raise RequestError(ResultCode.MAY_HAVE_RUN, f"{name!r} is gone")
+            raise RequestError(
+                ResultCode.MAY_HAVE_RUN, f"target {name!r} is no longer a member"
+            )
         if member is not None and member.incarnation > incarnation:
-            raise RequestError(ResultCode.MAY_HAVE_RUN, f"{name!r} has restarted")
+            raise RequestError(ResultCode.MAY_HAVE_RUN, f"target {name!r} restarted")
         return None
 
     async def stop(self) -> None:
--- a/src/wisteriapulley/sidecar/__init__.py
+++ b/src/wisteriapulley/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The one process beside each target: weights, orders and the request gate."""
+"""Sidecar of a target: downloads weights, orders loads, gates requests."""
--- a/src/wisteriapulley/sidecar/answers.py
+++ b/src/wisteriapulley/sidecar/answers.py
@@ -1,4 +1,4 @@
-"""Sends answers over a link: head, parts within the reader's window, end mark."""
+"""Send answers over a link: head, parts within the reader's window, end mark."""
 
 import zlib
 from collections.abc import AsyncIterator, Callable
@@ -18,7 +18,7 @@
 
 
 def end_to_end_headers(response: aiohttp.ClientResponse) -> tuple[messages.Header, ...]:
-    """Return the headers that go on to the caller."""
+    """Return the headers that are forwarded to the caller."""
     return tuple(
         messages.Header(name, value)
         for name, value in response.headers.items()
@@ -27,19 +27,19 @@
 
 
 async def kept_parts(body: bytes) -> AsyncIterator[bytes]:
-    """Yield a kept body in parts."""
+    """Yield the body of a kept answer in parts."""
     for start in range(0, len(body), PART_BYTES):
         yield body[start : start + PART_BYTES]
 
 
 class AnswerSender:
-    """Answers being sent, each within its own window."""
+    """Sends answers, each within its own flow-control window."""
 
     def __init__(self):
         self.windows: dict[tuple[Link, str], Window] = {}
 
     def add_credit(self, link: Link, credit: messages.Credit) -> None:
-        """Take in a reader's credit; one for a finished answer means nothing."""
+        """Add a reader's credit to its window; ignore it for a finished answer."""
         window = self.windows.get((link, credit.request_id))
         if window is not None:
             window.grant(credit.bytes)
@@ -47,7 +47,7 @@
     async def send_kept(
         self, link: Link, request_id: str, frame: Frame, answer: KeptAnswer
     ) -> None:
-        """Send a kept answer whole."""
+        """Send a kept answer: head, parts and end mark."""
         head = messages.AnswerHead(
             request_id,
             answer.status,
@@ -83,7 +83,7 @@
 async def read_bounded(
     response: aiohttp.ClientResponse, limit: int, too_long: Callable[[], Exception]
 ) -> bytes:
-    """Read a whole body of at most `limit` bytes."""
+    """Read a complete body of at most `limit` bytes, else raise `too_long()`."""
     parts = []
     size = 0
     async for data in response.content.iter_any():
--- a/src/wisteriapulley/sidecar/attempts.py
+++ b/src/wisteriapulley/sidecar/attempts.py
@@ -1,8 +1,9 @@
-"""Attempts of non-idempotent requests at one target; pure.
+"""Table of the attempts of non-idempotent requests at one target.
 
-An attempt runs at most once here. A refusal, or a resolve that finds nothing,
-leaves a tombstone, so that "not run" stays true when the original arrives late.
-Its states and moves are those of ``charts/attempt.json``.
+The table has no I/O and no clock; callers pass the time. An attempt runs at most
+once at a target. A refusal, or a resolve that finds no attempt, leaves a tombstone,
+so that "not run" stays true if the original dispatch arrives late. The states and
+transitions of an attempt are those of ``charts/attempt.json``.
 """
 
 import heapq
@@ -11,26 +12,27 @@
 from wisteriapulley.errors import RequestError, ResultCode
 from wisteriapulley.statechart import load_chart
 
-# With the claim's ten minutes and margin at 100 keyed requests a second.
+# Enough for 100 keyed requests a second, each kept for the longest expiry of a claim
+# (ten minutes) and the margin below.
 MAX_ATTEMPTS = 70_000
-# Kept answers of one target; past it the oldest finished answers lose their
-# bodies and a resend is told that the request has run.
+# Memory for the kept answers of one target. Beyond it the oldest finished answers
+# lose their bodies, and a resend gets MAY_HAVE_RUN.
 MAX_KEPT_BYTES = 32 << 20
-# Kept this much longer than the expiry, so that a frame which waited in a
-# stopped process still meets its tombstone; as the ledger's own margin.
+# Attempts are kept this much longer than their expiry, so that a frame delayed in a
+# suspended process still finds its tombstone. Equal to the ledger's margin.
 EXPIRY_MARGIN_S = 60.0
 RETRY_AFTER_MS = 1000
 
 
 class AttemptKey(NamedTuple):
-    """Client account and idempotency key."""
+    """Client account and its idempotency key."""
 
     account: str
     key: str
 
 
 class KeptAnswer(NamedTuple):
-    """Whole answer kept for resends."""
+    """Complete answer kept for resends."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -50,7 +52,7 @@
 
 
 class Attempt:
-    """What became of the newest attempt of one key."""
+    """State of the newest attempt of one key, and its answer."""
 
     def __init__(self, number: int, expires_s: float):
         self.number = number
@@ -59,7 +61,7 @@
         self.answer: KeptAnswer | None = None
 
     def fire(self, trigger: str) -> None:
-        """Move along the chart; any other move is a fault of the caller."""
+        """Follow a transition of the chart; any other trigger is a caller's bug."""
         self.state = TRANSITIONS[self.state, trigger]
 
 
@@ -69,10 +71,10 @@
     Parameters
     ----------
     limit : int
-        Most attempts held; beyond it new ones are refused, because forgetting
-        a live one could run a request twice.
+        Maximum number of attempts. Beyond it new attempts are refused, because
+        dropping a live one could let a request run twice.
     kept_limit : int
-        Most bytes of kept answers.
+        Maximum size of all kept answers.
     """
 
     def __init__(
@@ -87,37 +89,52 @@
     def start(
         self, key: AttemptKey, number: int, expires_s: float, now_s: float
     ) -> Attempt:
-        """Begin an attempt, once.
+        """Start an attempt, at most once.
 
         Raises
         ------
         RequestError
-            It was resolved as not run, is an older one, or ran already.
+            The expiry has passed, the table is full, the attempt or a later one
+            was resolved as not run, or an attempt of the key started before.
         """
         self.drop_expired(now_s)
         if expires_s <= now_s:
-            raise RequestError(ResultCode.REQUEST_EXPIRED, "the expiry has passed")
+            raise RequestError(
+                ResultCode.REQUEST_EXPIRED,
+                "the expiry of the idempotency key has passed",
+            )
         self.check_may_start(key, number)
         return self.put(key, number, expires_s, "start")
 
     def check_may_start(self, key: AttemptKey, number: int) -> None:
-        """Refuse a number that was resolved, or that ran or may have."""
+        """Raise an error if this attempt must not start.
+
+        Raises
+        ------
+        RequestError
+            IN_PROGRESS: an attempt of the key ran or may have run.
+            ATTEMPT_TOMBSTONED: this attempt or a later one was resolved as not run.
+        """
         current = self.attempts.get(key)
         if current is None:
             return
         if current.state != TOMBSTONE:
             raise RequestError(
-                ResultCode.IN_PROGRESS, "an attempt has begun", RETRY_AFTER_MS
+                ResultCode.IN_PROGRESS,
+                "an attempt with this key has already started",
+                RETRY_AFTER_MS,
             )
         if current.number >= number:
             raise RequestError(
-                ResultCode.ATTEMPT_TOMBSTONED, "resolved as not run", RETRY_AFTER_MS
+                ResultCode.ATTEMPT_TOMBSTONED,
+                "the attempt was resolved as not run",
+                RETRY_AFTER_MS,
             )
 
     def put(
         self, key: AttemptKey, number: int, expires_s: float, trigger: str
     ) -> Attempt:
-        """Set the newest attempt of a key, moved once.
+        """Set the newest attempt of a key and fire its first trigger.
 
         Raises
         ------
@@ -137,32 +154,34 @@
         return attempt
 
     def refuse(self, key: AttemptKey, number: int, expires_s: float) -> None:
-        """Leave a tombstone for an attempt that was refused before it began.
+        """Record a tombstone for an attempt that was refused before it started.
 
         Raises
         ------
         RequestError
-            IN_PROGRESS: an attempt of the key began here before.
+            IN_PROGRESS: an attempt of the key started here before.
+            ATTEMPT_TOMBSTONED: this attempt or a later one has a tombstone.
+            OVERLOADED: the table is full.
         """
         self.check_may_start(key, number)
         self.put(key, number, expires_s, "refuse")
 
     def finish(self, attempt: Attempt, answer: KeptAnswer) -> None:
-        """Keep the answer of an attempt that ran."""
+        """Record that an attempt ran, and keep its answer."""
         attempt.fire("finish")
         attempt.answer = answer
         self.kept_bytes += len(answer.body)
         self.evict_kept_answers()
 
     def resolve(self, key: AttemptKey, number: int, expires_s: float) -> Attempt:
-        """Return the attempt; one never seen becomes a tombstone."""
+        """Return the attempt; record a tombstone if it has not arrived yet."""
         current = self.attempts.get(key)
         if current is None or (current.state == TOMBSTONE and current.number < number):
             return self.put(key, number, expires_s, "resolve")
         return current
 
     def drop_expired(self, now_s: float) -> None:
-        """Drop attempts whose requests could not start again."""
+        """Drop attempts that could no longer start because of their expiry."""
         horizon_s = now_s - EXPIRY_MARGIN_S
         while self.expiries and self.expiries[0][0] < horizon_s:
             _, key = heapq.heappop(self.expiries)
@@ -170,7 +189,7 @@
             if attempt is None or attempt.expires_s >= horizon_s:
                 continue
             if attempt.state == RUNNING:
-                # It ends by itself; look again one margin later.
+                # It ends by itself; check again one margin later.
                 heapq.heappush(self.expiries, (now_s, key))
                 attempt.expires_s = now_s
                 continue
@@ -179,7 +198,7 @@
                 self.kept_bytes -= len(attempt.answer.body)
 
     def evict_kept_answers(self) -> None:
-        """Drop the oldest kept bodies beyond the limit."""
+        """Drop the oldest kept answers beyond the limit."""
         for attempt in self.attempts.values():
             if self.kept_bytes <= self.max_kept_bytes:
                 return
--- a/src/wisteriapulley/sidecar/engine.py
+++ b/src/wisteriapulley/sidecar/engine.py
@@ -1,6 +1,6 @@
 """Adapters to the target: a model engine, or a plain service.
 
-A different engine is one new adapter with the same methods.
+To support another engine, add an adapter with the same methods.
 """
 
 import asyncio
@@ -13,15 +13,15 @@
 
 ORDER_TIMEOUT_S = 600.0
 STATE_TIMEOUT_S = 2.0
-# How often an engine is asked while an order is out, and how often it may say
-# that it loads nothing before the order counts as lost.
+# Interval at which the engine's state is polled while an order is pending, and number
+# of consecutive polls without a load in progress after which the order counts as lost.
 ORDER_POLL_INTERVAL_S = 1.0
 MAX_IDLE_POLLS = 3
 HTTP_CONFLICT = 409
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What an engine reports of itself; its load lags."""
+    """State that an engine reports; `running` and `waiting` lag behind."""
 
     version: str = ""
     state: str = ""
@@ -32,7 +32,7 @@
 
 
 class LoadOrder(NamedTuple):
-    """Order to load a version from a base URL."""
+    """Order to load a version from a base URL, as sent to the engine."""
 
     version: str
     source_url: str
@@ -41,16 +41,16 @@
 
 
 class ModelEngine:
-    """Engine that loads versions on order.
+    """Adapter to an engine that loads versions on order.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Shared client.
+        Shared HTTP client.
     base_url : str
-        Where the engine answers.
+        Base URL of the engine's HTTP interface.
     fences : bool
-        Whether it refuses an order with an old fencing number.
+        Whether the engine rejects an order with an old fencing number.
     """
 
     def __init__(
@@ -62,12 +62,12 @@
         self.order_count = 0
 
     async def state(self) -> EngineState:
-        """Ask the engine what it serves.
+        """Return the state that the engine reports.
 
         Raises
         ------
         WeightsError
-            The engine does not answer.
+            TARGET_FAILED: the engine does not answer.
         """
         try:
             async with asyncio.timeout(STATE_TIMEOUT_S):
@@ -79,16 +79,17 @@
             raise WeightsError(ResultCode.TARGET_FAILED, f"{url}: {e!r}") from e
 
     async def verify(self, version: str, order_count: int) -> None:
-        """Make sure, after an answer's last byte, that it has one version.
+        """Check, after the last byte of an answer, that one version generated it.
 
-        An engine that refuses old orders changes only when the gate has drained
-        it. Another one may have taken a stale order in mid-answer, and may even
-        have been put right again since; so `orders` must be what it was before.
+        An engine that rejects old orders changes its version only after the gate has
+        drained it. Any other engine may have executed a stale order during the
+        answer, and may even be back at the right version since then. So the number
+        of load orders must be the same as before the answer, too.
 
         Raises
         ------
         WeightsError
-            ENGINE_WRONG_DIGEST: the answer must not count as whole.
+            ENGINE_WRONG_DIGEST: the answer must not count as complete.
         """
         if self.fences:
             return
@@ -96,11 +97,12 @@
         if state.version != version or self.order_count != order_count:
             raise WeightsError(
                 ResultCode.ENGINE_WRONG_DIGEST,
-                f"answer of {version}, but the engine now reports {state.version!r}",
+                f"the response began with version {version}, but the engine now"
+                f" reports {state.version!r}",
             )
 
     async def load(self, order: LoadOrder) -> None:
-        """Order a load and wait until the engine says that it is done.
+        """Order a load and wait until the engine reports that it is done.
 
         Raises
         ------
@@ -115,10 +117,10 @@
             post_task.cancel()
 
     async def watch_order(self, order: LoadOrder, post_task: asyncio.Task) -> None:
-        """Wait for the answer of an order, or for the state that it asks for.
+        """Wait for the response to an order, or for the state that it requests.
 
-        The connection of the order may go silent for good while the engine goes
-        on, so its state is asked on other connections meanwhile.
+        The connection of the order may stall for good while the engine goes on, so
+        the state is polled on other connections.
         """
         idle_polls = 0
         while idle_polls < MAX_IDLE_POLLS:
@@ -134,11 +136,12 @@
             idle_polls = 0 if state.state == "loading" else idle_polls + 1
         raise WeightsError(
             ResultCode.ENGINE_LOAD_FAILED,
-            f"the order got no answer, and the engine is {state.state!r}",
+            "the load order got no response, and the engine reports the state"
+            f" {state.state!r}",
         )
 
     async def post_order(self, order: LoadOrder) -> None:
-        """Send an order and read the engine's answer."""
+        """Send an order and read the engine's response."""
         url = f"{self.base_url}/control/load"
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_S):
@@ -154,7 +157,7 @@
             raise WeightsError(ResultCode.ENGINE_LOAD_FAILED, text)
 
     async def cancel(self, request_id: str) -> None:
-        """Take a request off the engine; one that is gone is fine."""
+        """Cancel a request at the engine; ignore errors and unknown requests."""
         url = f"{self.base_url}/control/cancel"
         try:
             async with asyncio.timeout(STATE_TIMEOUT_S):
@@ -165,7 +168,7 @@
 
 
 class PlainService:
-    """Service without weights: always of the empty version."""
+    """Adapter to a service without weights; its version is always empty."""
 
     def __init__(
         self, session: aiohttp.ClientSession, base_url: str, fences: bool = True
@@ -175,15 +178,15 @@
         self.order_count = 0
 
     async def verify(self, version: str, order_count: int) -> None:
-        """Do nothing: it has no weights that could change."""
+        """Do nothing: the service has no weights that could change."""
 
     async def state(self) -> EngineState:
-        """Ask whether the service answers its health page.
+        """Return the state "open" if the service responds to a health check.
 
         Raises
         ------
         WeightsError
-            It does not.
+            TARGET_FAILED: the service does not respond.
         """
         url = f"{self.base_url}/health"
         try:
@@ -195,4 +198,4 @@
         return EngineState(state="open")
 
     async def cancel(self, request_id: str) -> None:
-        """Do nothing: closing the connection is all a plain service knows."""
+        """Do nothing: a plain service is cancelled by closing its connection."""
--- a/src/wisteriapulley/sidecar/gate.py
+++ b/src/wisteriapulley/sidecar/gate.py
@@ -1,7 +1,8 @@
-"""The request gate: runs dispatched requests at the target.
+"""Request gate: runs dispatched requests at the target.
 
-Requests pass only while the target is open with a version that the catalogue
-named. A switch first drains the gate, so no request spans two versions.
+Requests are accepted only while the target is open with a version that the
+catalogue named. A version switch first drains the gate, so no request spans two
+versions.
 """
 
 import asyncio
@@ -42,7 +43,7 @@
 log = logging.getLogger(__name__)
 
 RETRY_AFTER_MS = 500
-# One answer's share of the kept bytes; a longer one can't be kept for resends.
+# Maximum size of one kept answer; a longer one can't be kept for resends.
 MAX_KEPT_ANSWER_BYTES = 8 << 20
 REQUEST_ID_HEADER = "X-Request-Id"
 RESUME_HEADER = "X-Resume-From"
@@ -51,7 +52,7 @@
 
 
 class EngineSnapshot(NamedTuple):
-    """What the engine served when a request began: version and orders so far."""
+    """Version and number of load orders of the engine when a request started."""
 
     version: str
     order_count: int
@@ -63,11 +64,11 @@
     Parameters
     ----------
     engine : ModelEngine or PlainService
-        The target's adapter.
+        Adapter to the target.
     incarnation : int
-        This sidecar's; dispatches for another one are refused.
+        Incarnation of this sidecar; dispatches to another one are refused.
     chart : StateChart
-        State of the target.
+        State chart of the target.
     """
 
     def __init__(self, engine, incarnation: int, chart: StateChart):
@@ -90,7 +91,7 @@
     async def receive_dispatch(
         self, link: Link, message: messages.Dispatch, frame: Frame
     ) -> None:
-        """Run a request, or refuse it as not run."""
+        """Run a request, or refuse it with a code that says "not run"."""
         if message.idempotency_key:
             await self.run_keyed(link, message, frame)
             return
@@ -102,12 +103,12 @@
             self.tasks.pop(message.request_id, None)
 
     def check_open(self, message: messages.Dispatch) -> None:
-        """Refuse unless the target is open for this very request.
+        """Raise an error unless the target may run this request.
 
         Raises
         ------
         RequestError
-            The code says that it did not run.
+            GATE_CLOSED: the request did not run.
         """
         if message.incarnation != self.incarnation:
             raise RequestError(
@@ -124,19 +125,19 @@
     async def receive_cancel(
         self, link: Link, message: messages.Cancel, frame: Frame
     ) -> None:
-        """Take a request off the target; a keyed one goes on."""
+        """Cancel a request at the target; a keyed request continues."""
         task = self.tasks.get(message.request_id)
         if task is not None:
             task.cancel()
 
     def receive_credit(self, link: Link, message: messages.Credit) -> None:
-        """Let more of an answer go to a reader that has consumed some."""
+        """Add a reader's credit to the window of its answer."""
         self.sender.add_credit(link, message)
 
     async def receive_resolve(
         self, link: Link, message: messages.Resolve, frame: Frame
     ) -> None:
-        """Say what became of an attempt; then send its answer, if it has one."""
+        """Send the state of an attempt, then its answer unless it did not run."""
         now_s = time.monotonic()
         expires_s = monotonic_expiry_s(
             message.expires_in_ms, message.expires_at_ms, now_s
@@ -156,7 +157,7 @@
     async def run_keyed(
         self, link: Link, message: messages.Dispatch, frame: Frame
     ) -> None:
-        """Run a non-idempotent request to its end, whatever the link does."""
+        """Run a non-idempotent request to its end, even if the link closes."""
         key = AttemptKey(message.account, message.idempotency_key)
         now_s = time.monotonic()
         expires_s = monotonic_expiry_s(
@@ -179,9 +180,9 @@
     async def run_and_keep(
         self, message: messages.Dispatch, body: bytes, key: AttemptKey, attempt: Attempt
     ) -> None:
-        """Run at the target and keep the whole answer.
+        """Run a request at the target and keep its complete answer.
 
-        It may outlast the caller's deadline: a resend then gets its answer.
+        The run may outlast the caller's deadline; a resend then gets the answer.
         """
         with self.count_running():
             try:
@@ -189,17 +190,19 @@
                 self.attempts.finish(attempt, answer)
             except aiohttp.ClientConnectorError as error:
                 # No connection was made, so no byte of it reached the target.
-                log.warning("keyed request %s: %r", message.request_id, error)
+                log.warning(
+                    "keyed request %s did not start: %r", message.request_id, error
+                )
                 attempt.fire("not_begun")
             except TARGET_ERRORS as error:
-                log.warning("keyed request %s: %r", message.request_id, error)
+                log.warning("keyed request %s failed: %r", message.request_id, error)
             finally:
                 if attempt.state == RUNNING:
                     attempt.fire("lose")
                 self.finished_events.pop(key).set()
 
     async def run_buffered(self, message: messages.Dispatch, body: bytes) -> KeptAnswer:
-        """Run at the target and read the whole answer."""
+        """Run a request at the target and read its complete answer."""
         timeout_ms = max(message.remaining_ms, message.expires_in_ms)
         snapshot = EngineSnapshot(self.version, self.engine.order_count)
         async with self.open_request(message, body, timeout_ms) as response:
@@ -219,18 +222,21 @@
         key: AttemptKey,
         attempt: Attempt,
     ) -> None:
-        """Wait for an attempt's end and send its kept answer."""
+        """Wait for the end of an attempt and send its kept answer."""
         finished = self.finished_events.get(key)
         with self.count_sending():
             if finished is not None:
                 await finished.wait()
             if attempt.state == TOMBSTONE:
                 raise RequestError(
-                    ResultCode.GATE_CLOSED, "the target takes no call", RETRY_AFTER_MS
+                    ResultCode.GATE_CLOSED,
+                    "the request was not started at the target",
+                    RETRY_AFTER_MS,
                 )
             if attempt.state != DONE:
                 raise RequestError(
-                    ResultCode.MAY_HAVE_RUN, "the target ended without a whole answer"
+                    ResultCode.MAY_HAVE_RUN,
+                    "the request was started, but no complete response is kept",
                 )
             await self.sender.send_kept(link, request_id, frame, attempt.answer)
 
@@ -239,7 +245,7 @@
     async def run_streaming(
         self, link: Link, message: messages.Dispatch, frame: Frame
     ) -> None:
-        """Run an idempotent request and pass its answer on as it comes."""
+        """Run an idempotent request and forward its answer as it arrives."""
         completed = False
         try:
             with self.count_running():
@@ -253,7 +259,7 @@
             raise RequestError(ResultCode.ANSWER_CUT, repr(error)) from error
         finally:
             if not completed:
-                # Given up, cut or timed out: it must not go on using the engine.
+                # Cancelled, cut off or timed out: it must not keep using the engine.
                 task = asyncio.get_running_loop().create_task(
                     self.engine.cancel(message.request_id)
                 )
@@ -283,21 +289,21 @@
     async def checked_parts(
         self, snapshot: EngineSnapshot, response: aiohttp.ClientResponse
     ) -> AsyncIterator[bytes]:
-        """Yield the body; raise before its end if the version changed under it."""
+        """Yield the body; raise an error at its end if the version changed."""
         async for data in response.content.iter_any():
             yield data
         await self.check_version(snapshot)
 
     async def check_version(self, snapshot: EngineSnapshot) -> None:
-        """Check that the engine still serves what a request began with.
+        """Check that the engine still serves the version a request started with.
 
-        An engine that ignores fencing may have taken an old order while the
-        request ran: its answer is then of mixed weights.
+        An engine that ignores fencing may have executed an old order while the
+        request ran. The answer is then a mix of two versions.
 
         Raises
         ------
         WeightsError
-            ENGINE_WRONG_DIGEST: the answer must not count as whole.
+            ENGINE_WRONG_DIGEST: the answer must not count as complete.
         """
         try:
             await self.engine.verify(snapshot.version, snapshot.order_count)
@@ -308,7 +314,7 @@
             raise
 
     def open_request(self, message: messages.Dispatch, body: bytes, timeout_ms: int):
-        """Open the request at the target."""
+        """Return the HTTP request to the target, as a context manager."""
         headers = {header.name: header.value for header in message.headers}
         headers["Accept-Encoding"] = "identity"
         headers[REQUEST_ID_HEADER] = message.request_id
@@ -323,7 +329,7 @@
             URL(self.engine.base_url + message.path, encoded=True),
             data=body,
             headers=headers,
-            # 0 would mean no limit at all.
+            # aiohttp takes 0 as no timeout.
             timeout=aiohttp.ClientTimeout(total=max(1, timeout_ms) / 1000),
             allow_redirects=False,
         )
@@ -332,7 +338,7 @@
 
     @contextmanager
     def count_running(self):
-        """Count a request as load of the target while the block runs."""
+        """Count a request as running at the target inside the block."""
         self.running += 1
         self.idle.clear()
         try:
@@ -343,7 +349,7 @@
 
     @contextmanager
     def count_sending(self):
-        """Count an answer that has still to go out; it is no load."""
+        """Count an answer as being sent inside the block; it is no engine load."""
         self.sending += 1
         self.idle.clear()
         try:
@@ -353,20 +359,21 @@
             self.update_idle()
 
     def update_idle(self) -> None:
-        """Say when nothing runs and no answer is still to go out."""
+        """Set `idle` if no request runs and no answer is being sent."""
         if self.running == 0 and self.sending == 0:
             self.idle.set()
 
     async def drained(self) -> None:
-        """Wait until no request runs."""
+        """Wait until no request runs and no answer is being sent."""
         await self.idle.wait()
 
 
 def monotonic_expiry_s(expires_in_ms: int, expires_at_ms: int, now_s: float) -> float:
     """Return the monotonic time of an expiry.
 
-    A frame may wait in a stopped process for longer than its expiry, and its
-    relative time would then start anew: the absolute one ends it.
+    The earlier of the relative and the absolute expiry counts. A frame may be
+    delayed in a suspended process beyond its expiry, and the relative time would
+    then start again on arrival.
     """
     remaining_ms = expires_in_ms
     if expires_at_ms:
@@ -375,8 +382,9 @@
 
 
 def answer_too_long_error() -> RequestError:
-    """Make the error of an answer that is too long to keep."""
+    """Return the error of an answer that is too long to keep."""
     return RequestError(
         ResultCode.ANSWER_CUT,
-        f"the answer is longer than {MAX_KEPT_ANSWER_BYTES} bytes",
+        "response too long to keep for resends:"
+        f" expected at most {MAX_KEPT_ANSWER_BYTES} bytes",
     )
--- a/src/wisteriapulley/sidecar/neighbours.py
+++ b/src/wisteriapulley/sidecar/neighbours.py
@@ -1,4 +1,4 @@
-"""Links to the sidecars that chunks come from, and what live requests use."""
+"""Links to neighbouring sidecars for chunks, and the traffic of live requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,45 +13,45 @@
 
 
 class RequestTrafficMeter:
-    """Counts the bytes of links that carry no weights."""
+    """Counts the bytes on links that carry requests instead of weights."""
 
     def __init__(self):
         self.links: set[Link] = set()
         self.closed_bytes = 0
 
     def add(self, link: Link) -> None:
-        """Count a link."""
+        """Start to count a link."""
         self.links.add(link)
 
     def drop(self, link: Link) -> None:
-        """Keep the bytes of a closed link."""
+        """Stop counting a closed link, but keep its bytes in the total."""
         if link in self.links:
             self.links.discard(link)
             self.closed_bytes += link.bytes_sent + link.bytes_received
 
     def total_bytes(self) -> int:
-        """Return the bytes so far, up and down."""
+        """Return the bytes sent and received so far."""
         open_bytes = sum(ln.bytes_sent + ln.bytes_received for ln in self.links)
         return self.closed_bytes + open_bytes
 
 
 class Neighbours:
-    """Keeps this instance's links to its neighbours.
+    """Keeps links to the neighbours of this sidecar open.
 
     Parameters
     ----------
     settings : SidecarSettings
-        This sidecar's.
+        Settings of this sidecar.
     identity : Identity
-        Who this process is.
+        Identity of this process.
     swarm : Swarm
-        Gets every sidecar's link.
+        Gets the links of all sidecars.
     handler, heartbeat : callable
-        Of each link.
+        Frame handler and heartbeat source of each link.
     heard : callable
         Called with a link after each heartbeat on it.
-    meter : LiveMeter
-        Gets every other link.
+    meter : RequestTrafficMeter
+        Gets all other links.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         self.stopping: set[asyncio.Task] = set()
 
     def update_members(self, announced: dict[str, messages.Announce]) -> None:
-        """Take part with those who are announced, and link to some of them."""
+        """Update the swarm's members and the links to this sidecar's neighbours."""
         members = {
             name: member
             for name, member in announced.items()
@@ -95,7 +95,7 @@
             self.add_keeper(name, desired_addresses[name])
 
     def add_keeper(self, name: str, address: str) -> None:
-        """Start keeping a link."""
+        """Start keeping a link to a neighbour open."""
         keeper = LinkKeeper(
             [Address.from_text(address)],
             self.identity,
@@ -108,19 +108,19 @@
         keeper.start()
 
     def drop_keeper(self, name: str) -> None:
-        """Stop keeping a link."""
+        """Stop keeping a link open, and close it."""
         _, keeper = self.keepers.pop(name)
         task = asyncio.get_running_loop().create_task(keeper.stop())
         self.stopping.add(task)
         task.add_done_callback(self.stopping.discard)
 
     async def link_connected(self, link: Link) -> None:
-        """Take in a link that this instance opened."""
+        """Register a link that this sidecar opened."""
         link.on_close = self.link_closed
         self.link_opened(link)
 
     def link_opened(self, link: Link) -> None:
-        """Take in a link, whoever opened it."""
+        """Register a link, opened by either side."""
         link.on_heartbeat = self.on_heartbeat
         if link.peer.role == "sidecar":
             self.swarm.add_link(link)
@@ -128,11 +128,11 @@
             self.meter.add(link)
 
     def link_closed(self, link: Link) -> None:
-        """Forget a closed link."""
+        """Remove a closed link."""
         self.swarm.drop_link(link)
         self.meter.drop(link)
 
     async def stop(self) -> None:
-        """Close every link that this instance keeps."""
+        """Close every link that this sidecar keeps open."""
         for _, keeper in self.keepers.values():
             await keeper.stop()
--- a/src/wisteriapulley/sidecar/service.py
+++ b/src/wisteriapulley/sidecar/service.py
@@ -30,7 +30,7 @@
 
 
 class SidecarService(aiomisc.Service):
-    """One sidecar.
+    """The sidecar service of one process.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
 
     @classmethod
     def from_settings(cls, settings: SidecarSettings) -> "SidecarService":
-        """Make the service from checked settings."""
+        """Return a service with these settings, which are already checked."""
         return cls(settings)
 
     async def start(self) -> None:
@@ -112,11 +112,11 @@
         self.tasks.append(asyncio.get_running_loop().create_task(self.reconcile()))
 
     def source_urls(self) -> list[str]:
-        """Return the sources in the order they are asked."""
+        """Return the URLs of the weight sources in the order they are tried."""
         return [u for u in (self.settings.origin_url, self.settings.store_url) if u]
 
     async def listen(self) -> None:
-        """Open both listeners."""
+        """Start the link server and the HTTP server."""
         settings = self.settings
         self.server = LinkServer(
             self.identity,
@@ -134,12 +134,12 @@
         await self.http.start(settings.http_listen)
 
     async def reconcile(self) -> None:
-        """Start switching once the catalogue is confirmed."""
+        """Run the version switcher once the catalogue is confirmed."""
         await self.control.wait_confirmed()
         await self.switcher.run()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Leave: take no new work, finish what runs, then close."""
+        """Refuse new requests, finish those in progress, then close."""
         self.leaving = True
         self.chart.fire("leave")
         self.announce()
@@ -150,7 +150,7 @@
             async with asyncio.timeout(self.settings.drain_ms / 1000):
                 await self.gate.drained()
         except TimeoutError:
-            log.error("requests were still running after drain_ms")
+            log.error("requests still running after drain_ms; closing anyway")
         await asyncio.sleep(self.settings.heartbeat_ms / 1000)
         await self.control.stop()
         await self.neighbours.stop()
@@ -158,14 +158,14 @@
         await self.http.stop()
         await self.session.close()
 
-    # -- what others are told --------------------------------------------
+    # -- published state -------------------------------------------------
 
     def is_ready(self) -> bool:
-        """Ready when the target is open."""
+        """Return whether the target is open."""
         return self.chart.state == "open"
 
     def heartbeat(self) -> messages.Heartbeat:
-        """Make this sidecar's heartbeat."""
+        """Return this sidecar's heartbeat."""
         return messages.Heartbeat(
             self.control.holder.revision,
             self.leaving,
@@ -175,7 +175,7 @@
         )
 
     def announce(self) -> None:
-        """Announce the target to control."""
+        """Announce the target to the control instances."""
         self.sequence += 1
         self.control.announce(
             messages.Announce(
@@ -191,7 +191,7 @@
         )
 
     def state_changed(self) -> None:
-        """Tell entries and control of a new state."""
+        """Publish a new state to entries and control instances."""
         heartbeat = self.heartbeat()
         if heartbeat[:4] != getattr(self, "last_heartbeat", heartbeat[:3])[:4]:
             self.server.beat()
@@ -216,26 +216,26 @@
         )
 
     def catalogue_changed(self) -> None:
-        """Report the new revision at once, and act on it."""
+        """Wake the version switcher and report the new revision at once."""
         self.switcher.catalogue_changed.set()
         self.state_changed()
 
     def members_changed(self) -> None:
-        """Link to this instance's neighbours."""
+        """Update the links to neighbours after the member list changed."""
         self.neighbours.update_members(self.control.members)
 
     # -- frames ----------------------------------------------------------
 
     async def handle(self, link: Link, frame: Frame) -> None:
-        """Handle a frame that is no reply."""
+        """Handle a frame that is not a reply."""
         await self.receive(frame.message, link, frame)
 
     @singledispatchmethod
     async def receive(self, message: tuple, link: Link, frame: Frame) -> None:
-        """Take in a message, by its kind."""
+        """Handle a message by its type; reject unknown ones."""
         raise WireError(
             ResultCode.UNEXPECTED_MESSAGE,
-            f"sidecar takes no {type(message).__name__}",
+            f"sidecar does not accept {type(message).__name__}",
         )
 
     @receive.register
--- a/src/wisteriapulley/sidecar/switch.py
+++ b/src/wisteriapulley/sidecar/switch.py
@@ -1,4 +1,8 @@
-"""Reconciles the engine with the catalogue: copy, drain, load, verify, open."""
+"""Bring the engine to the catalogue's version.
+
+The steps are: download the weights, get a permit, drain the gate, load, verify
+and open the gate again.
+"""
 
 import asyncio
 import logging
@@ -19,15 +23,17 @@
 
 RECONCILE_INTERVAL_S = 0.25
 FAILURE_BACKOFF_S = 2.0
-# 820 sidecars ask for permits at once and each answer is a log record: whoever
-# is denied asks again later and later, and not in step with the others.
+# All sidecars, up to 820, request permits at once, and each response is a record in
+# the replicated log. A denied request is repeated with exponential backoff and
+# jitter.
 PERMIT_BACKOFF_MIN_S = 0.2
 PERMIT_BACKOFF_MAX_S = 3.0
-# A version that an engine fails to load is tried again ever more seldom: each
-# try takes the target out of service.
+# A version that an engine fails to load is retried with exponential backoff, because
+# each try takes the target out of service.
 LOAD_BACKOFF_MIN_S = 5.0
 LOAD_BACKOFF_MAX_S = 300.0
-# Control is away: an order that changes nothing needs no permit.
+# No control instance is reachable, or there is no quorum. A load order that restores
+# the version served before needs no permit then.
 CONTROL_UNREACHABLE_CODES = (
     ResultCode.NO_QUORUM,
     ResultCode.LINK_CLOSED,
@@ -36,7 +42,7 @@
 
 
 class LoadBackoff:
-    """A version that this engine failed to load."""
+    """Backoff after this engine failed to load a version."""
 
     def __init__(self):
         self.version = ""
@@ -45,7 +51,7 @@
         self.retry_at_s = 0.0
 
     def record_failure(self, version: str, reason: str, now_s: float) -> None:
-        """Note a failed load; the same version is_repeat doubles the wait."""
+        """Record a failed load; a repeated failure of a version doubles its delay."""
         is_repeat = version == self.version
         self.delay_s = (
             min(LOAD_BACKOFF_MAX_S, self.delay_s * 2)
@@ -57,29 +63,29 @@
         self.retry_at_s = now_s + self.delay_s
 
     def blocks(self, version: str, now_s: float) -> bool:
-        """Tell whether a version must not be tried yet."""
+        """Return whether a version must not be tried yet."""
         return version == self.version and now_s < self.retry_at_s
 
 
 class VersionSwitcher:
-    """Brings the target to what the catalogue names.
+    """Switches the target to the version that the catalogue names.
 
     Parameters
     ----------
     settings : SidecarSettings
-        This sidecar's.
+        Settings of this sidecar.
     control : ControlClient
-        Catalogue, permits and leases.
+        Provides the catalogue, permits and leases.
     gate : Gate
-        Drained around a load.
+        Drained before a load.
     swarm : Swarm
-        Copies versions.
+        Downloads versions.
     engine : ModelEngine
-        Takes orders.
+        Executes load orders.
     source_url : str
-        Where the engine reads verified bytes.
+        URL from which the engine reads verified bytes.
     on_change : callable
-        Called when the state changed.
+        Called after each change of the target's state.
     """
 
     def __init__(
@@ -114,29 +120,31 @@
 
     @property
     def chart(self):
-        """State of the target."""
+        """State chart of the target."""
         return self.gate.chart
 
     def desired_entry(self) -> Entry | None:
-        """Return the catalogue entry that rules this target."""
+        """Return the catalogue entry of this target's service."""
         entries = self.control.holder.by_service.get(self.settings.service)
         return entries[0] if entries else None
 
     async def run(self) -> None:
-        """Reconcile for ever."""
+        """Reconcile repeatedly until cancelled."""
         while True:
             try:
                 await self.reconcile()
                 delay_s = RECONCILE_INTERVAL_S
             except WisteriapulleyError as error:
                 self.detail = str(error)
-                log.warning("switch: %s", error, extra=fields(code=error.code))
+                log.warning(
+                    "version switch failed: %s", error, extra=fields(code=error.code)
+                )
                 delay_s = FAILURE_BACKOFF_S
             self.on_change()
             await self.wait_for_change(delay_s)
 
     async def wait_for_change(self, delay_s: float) -> None:
-        """Wait, but not longer than until the catalogue changes."""
+        """Wait for `delay_s`, or until the catalogue changes."""
         try:
             async with asyncio.timeout(delay_s):
                 await self.catalogue_changed.wait()
@@ -145,10 +153,10 @@
         self.catalogue_changed.clear()
 
     async def reconcile(self) -> None:
-        """Take one step towards the catalogue."""
+        """Take one step towards the catalogue's version."""
         entry = self.desired_entry()
         if entry is not None and entry.version:
-            # The copy needs no engine: it goes on while that restarts.
+            # A download does not need the engine and goes on while that restarts.
             self.start_download(entry)
         state = await self.observe_engine()
         if entry is None or self.chart.state == "leaving":
@@ -168,11 +176,12 @@
             self.detail = self.waiting_reason(entry)
 
     def next_version(self, entry: Entry, state: EngineState) -> str:
-        """Return the version to load now, or an empty text to wait.
+        """Return the version to load now, or an empty string to wait.
 
-        That is the catalogue's once it is whole here. Until then, and after a
-        failed load, an engine that holds nothing gets back the version that it
-        served: the failure of a new one must not take the target away.
+        This is the catalogue's version once its local copy is complete. Until then,
+        and after a failed load, an engine without weights gets the version that it
+        served last: the failure of a new version must not take the target out of
+        service.
         """
         now_s = asyncio.get_running_loop().time()
         is_complete = self.complete_version == entry.version
@@ -188,13 +197,16 @@
         return ""
 
     def waiting_reason(self, entry: Entry) -> str:
-        """Say why the target does not have the catalogue's version yet."""
+        """Return why the target does not serve the catalogue's version yet."""
         if self.load_backoff.version == entry.version:
             return self.load_backoff.reason
         return self.swarm.trouble() or self.download_error
 
     async def observe_engine(self) -> EngineState:
-        """Ask the engine, and close the gate when it is not what we hold."""
+        """Read the engine's state and check it against the gate.
+
+        The gate closes if the engine does not answer or has another version.
+        """
         try:
             state = await self.engine.state()
         except WeightsError:
@@ -205,14 +217,14 @@
         return state
 
     def close_gate(self, trigger: str) -> None:
-        """Close the gate along the chart, if it is open."""
+        """Close the gate if the state chart allows `trigger` now."""
         if self.chart.can(trigger):
             self.chart.fire(trigger)
             self.gate.version = ""
             self.on_change()
 
     def open_gate(self, version: str, trigger: str) -> None:
-        """Open the gate with a version that the engine reported."""
+        """Open the gate with the version that the engine reported."""
         self.gate.version = version
         self.last_served_version = version
         self.chart.fire(trigger)
@@ -220,10 +232,10 @@
         self.on_change()
 
     def start_download(self, entry: Entry) -> None:
-        """Copy the version unless it is whole here or on its way.
+        """Download the version unless it is complete or being downloaded.
 
-        The copy of a version that the catalogue no longer names is cancelled
-        with all its fetches; chunks that the new one shares stay.
+        The download of a version that the catalogue no longer names is cancelled
+        with all its fetches. Chunks that the new version shares are kept.
         """
         if self.complete_version == entry.version:
             return
@@ -238,13 +250,17 @@
         )
 
     async def download(self, entry: Entry) -> None:
-        """Copy a version whole and verified."""
+        """Download a version completely and verify it."""
         self.swarm.serving = self.gate.version or self.last_served_version
         try:
             manifest = await self.swarm.fetch_version(entry.version, entry.distribution)
         except WisteriapulleyError as error:
             self.download_error = str(error)
-            log.error("copy: %s", error, extra=fields(code=error.code))
+            log.error(
+                "download of the weights failed: %s",
+                error,
+                extra=fields(code=error.code),
+            )
             await asyncio.sleep(FAILURE_BACKOFF_S)
             return
         self.download_error = ""
@@ -255,8 +271,8 @@
         """Drain, load, verify and open, under a permit.
 
         A target that a failed load left empty keeps its permit until it is open
-        again: were it given back, a version that no engine loads would take one
-        target after the other out of service.
+        again. If it released the permit, a version that no engine can load would
+        take one target after another out of service.
         """
         serving = self.chart.state == "open"
         counted = serving or self.has_permit
@@ -271,12 +287,12 @@
                 await self.release_permit()
 
     async def obtain_permit(self, entry: Entry, version: str, counted: bool) -> bool:
-        """Get a permit; tell whether the switch may begin.
+        """Request a permit and return whether the switch may begin.
 
-        While control is away, an engine that lost its weights may get back the
-        version that it served before: the target serves nothing meanwhile, so
-        none more is out of service, and the catalogue in force here does not
-        change.
+        While no control instance is reachable, an engine that lost its weights may
+        load the version that it served before without a permit. The target serves
+        nothing in the meantime, so no further target goes out of service, and the
+        catalogue in force here does not change.
         """
         try:
             permit = await self.request_permit(entry, version, counted)
@@ -304,8 +320,8 @@
         Returns
         -------
         bool
-            False, with the gate open again, when requests run too long or the
-            catalogue has moved on meanwhile.
+            False, with the gate open again, if requests run longer than the
+            setting `drain_ms` or the catalogue names another version by then.
         """
         self.chart.fire("drain")
         self.on_change()
@@ -316,7 +332,7 @@
             if entry is not None and entry.version == version:
                 return True
         except TimeoutError:
-            self.detail = "requests ran longer than drain_ms"
+            self.detail = "version switch put off: requests ran longer than drain_ms"
         if self.chart.can("reopen"):
             self.chart.fire("reopen")
             self.on_change()
@@ -325,7 +341,7 @@
     async def request_permit(
         self, entry: Entry, version: str, serving: bool
     ) -> PermitResult:
-        """Ask the leader for a permit."""
+        """Request a permit from the leader."""
         command = AcquirePermit(
             entry.service,
             self.settings.failure_domain,
@@ -337,7 +353,7 @@
         return await self.control.propose(command)
 
     async def release_permit(self) -> None:
-        """Give the permit back; a lost release ends with the member's lease."""
+        """Release the permit; if that is lost, it ends with the member's lease."""
         self.has_permit = False
         try:
             await self.control.propose(
@@ -347,13 +363,13 @@
             log.warning("permit not released: %s", error)
 
     async def load(self, version: str, role: str) -> None:
-        """Order the load with a fresh lease, then check what the engine says.
+        """Order the load under a fresh lease, then check the engine's version.
 
         Raises
         ------
         WisteriapulleyError
-            The target is open with the old version when the engine still holds
-            it, else empty.
+            The load failed. The target is open with the previous version if the
+            engine still holds it, otherwise it is empty.
         """
         try:
             await self.check_lease(version)
@@ -370,7 +386,8 @@
             if state.version != version:
                 raise WeightsError(
                     ResultCode.ENGINE_WRONG_DIGEST,
-                    f"ordered {version}, engine reports {state.version!r}",
+                    f"ordered version {version}, but the engine reports"
+                    f" {state.version!r}",
                 )
         except WeightsError as error:
             await self.handle_load_failure(version, error)
@@ -381,24 +398,35 @@
             self.swarm.keep_only({version})
 
     async def check_lease(self, version: str) -> None:
-        """Make sure that a quorum lives right before an order that changes much."""
+        """Check for a live quorum right before a load order.
+
+        No quorum is needed to restore the last served version to an empty engine.
+
+        Raises
+        ------
+        WeightsError
+            NO_QUORUM: the lease expired before its response arrived.
+        """
         if version == self.last_served_version and self.chart.state == "empty":
             return
         sent_s = time.monotonic()
         lease = await self.control.lease()
-        # Counted from when it was asked for: the answer may have been long on
-        # its way, or this process stopped meanwhile.
+        # The lease runs from the time of the request: the response may have been
+        # delayed, or this process suspended in the meantime.
         if time.monotonic() >= sent_s + lease.remaining_ms / 1000:
-            raise WeightsError(ResultCode.NO_QUORUM, "the lease has ended")
+            raise WeightsError(
+                ResultCode.NO_QUORUM,
+                "the quorum lease expired before the load was ordered",
+            )
 
     def reopen_gate(self) -> None:
-        """Go on with the old version: the engine has not been ordered."""
+        """Reopen the gate with the previous version; no load was ordered yet."""
         if self.chart.can("reopen"):
             self.chart.fire("reopen")
             self.on_change()
 
     async def handle_load_failure(self, version: str, error: WeightsError) -> None:
-        """Keep the old version in service if the engine still holds it."""
+        """Keep the previous version in service if the engine still holds it."""
         now_s = asyncio.get_running_loop().time()
         if error.code != ResultCode.ENGINE_FENCED:
             self.load_backoff.record_failure(version, str(error), now_s)
@@ -406,7 +434,9 @@
         try:
             held_version = (await self.engine.state()).version
         except WeightsError as state_error:
-            log.warning("engine after a failed load: %s", state_error)
+            log.warning(
+                "could not read the engine's state after a failed load: %s", state_error
+            )
         if held_version and held_version == self.gate.version:
             self.chart.fire("kept")
         else:
--- a/src/wisteriapulley/sidecar/weights_http.py
+++ b/src/wisteriapulley/sidecar/weights_http.py
@@ -1,4 +1,4 @@
-"""Serves verified bytes to the engine by HTTP range."""
+"""Serve verified weights to the engine by HTTP range requests."""
 
 from aiohttp import web
 
@@ -10,7 +10,7 @@
 
 
 class WeightsHandlers:
-    """Manifest and files of the versions that are here."""
+    """HTTP handlers for the manifests and files of the versions held here."""
 
     def __init__(self, swarm: Swarm):
         self.swarm = swarm
@@ -26,7 +26,9 @@
         """Return the manifest that the request names."""
         manifest = self.swarm.manifests.get(request.match_info["version"])
         if manifest is None:
-            raise WeightsError(ResultCode.SOURCE_UNAVAILABLE, "version is not here")
+            raise WeightsError(
+                ResultCode.SOURCE_UNAVAILABLE, "this sidecar does not have the version"
+            )
         return manifest
 
     async def manifest(self, request: web.Request) -> web.Response:
@@ -38,14 +40,16 @@
     async def file(self, request: web.Request) -> web.StreamResponse:
         """Send a range of a file, chunk by chunk.
 
-        A chunk that is missing ends the answer short of its length, which the
-        engine sees; bytes that are not verified are never sent.
+        If a chunk is missing, the response ends short of its length, which the
+        engine detects. Bytes that are not verified are never sent.
         """
         manifest = self.find(request)
         path = request.match_info["path"]
         sizes = {file.path: file.size for file in manifest.files}
         if path not in sizes:
-            raise WeightsError(ResultCode.SOURCE_UNAVAILABLE, f"{path}: no such file")
+            raise WeightsError(
+                ResultCode.SOURCE_UNAVAILABLE, f"{path}: no such file in the manifest"
+            )
         start, end = byte_range(request, sizes[path])
         response = web.StreamResponse(status=206 if "Range" in request.headers else 200)
         response.content_length = end - start
@@ -61,7 +65,7 @@
 
 
 def byte_range(request: web.Request, size: int) -> tuple[int, int]:
-    """Return first byte and end of the range that a request asks for."""
+    """Return the start and the exclusive end of the requested byte range."""
     try:
         start, end, _ = request.http_range.indices(size)
     except ValueError as error:
