--- a/src/wisteriapulley/claims/ledger.py
+++ b/src/wisteriapulley/claims/ledger.py
@@ -80,7 +80,7 @@
 
     Parameters
     ----------
-    limit : int
+    max_claims : int
         Maximum number of claims. Beyond it new claims are rejected as not run,
         because dropping a live claim could let a request run twice.
     """
--- a/src/wisteriapulley/entry/dispatch.py
+++ b/src/wisteriapulley/entry/dispatch.py
@@ -137,7 +137,8 @@
         """Return whether another target may be tried.
 
         The budget limits retries to a tenth of the admitted requests. The load of
-        a failing service then grows by a tenth instead of by `MAX_ATTEMPTS` times.
+        a failing service then grows by a tenth, and is not multiplied by the number
+        of attempts.
         """
         if attempt == MAX_ATTEMPTS or error.code in NOT_RETRYABLE_CODES:
             return False
--- a/src/wisteriapulley/entry/targets.py
+++ b/src/wisteriapulley/entry/targets.py
@@ -34,18 +34,18 @@
     in_flight_at_report : int
         Maximum of `in_flight` in the interval before the last heartbeat, which is
         what that heartbeat may have counted. Answers may arrive while a heartbeat
-        is under way; if it were compared with a lower count, an ended request of
-        this entry would be taken for another entry's, and a slot would stay empty
-        until the next heartbeat.
+        is in transit. Compared with the lower current count, the heartbeat would
+        seem to report requests of other entries, and a slot would stay empty until
+        the next heartbeat.
     peak : int
         Maximum of `in_flight` since the last heartbeat.
-    gone : bool
+    unlisted : bool
         Whether the member list no longer contains the target. It is used as long
         as heartbeats arrive on its link.
-    displaced : bool
+    outside_subset : bool
         Whether the target is outside this entry's subset. It gets no new requests,
         and its link closes when it is idle.
-    asked_s : float
+    last_queried_s : float
         Time when the target was last asked about a claim.
     """
 
--- a/src/wisteriapulley/sidecar/attempts.py
+++ b/src/wisteriapulley/sidecar/attempts.py
@@ -70,10 +70,10 @@
 
     Parameters
     ----------
-    limit : int
+    max_attempts : int
         Maximum number of attempts. Beyond it new attempts are refused, because
         dropping a live one could let a request run twice.
-    kept_limit : int
+    max_kept_bytes : int
         Maximum size of all kept answers.
     """
 
--- a/src/wisteriapulley/sidecar/gate.py
+++ b/src/wisteriapulley/sidecar/gate.py
@@ -118,7 +118,7 @@
         if self.chart.state != "open" or is_other_version:
             raise RequestError(
                 ResultCode.GATE_CLOSED,
-                f"the target is {self.chart.state} with {self.version[:12]!r}",
+                f"the target is {self.chart.state} with version {self.version[:12]!r}",
                 RETRY_AFTER_MS,
             )
 
--- a/src/wisteriapulley/sidecar/neighbours.py
+++ b/src/wisteriapulley/sidecar/neighbours.py
@@ -48,7 +48,7 @@
         Gets the links of all sidecars.
     handler, heartbeat : callable
         Frame handler and heartbeat source of each link.
-    heard : callable
+    on_heartbeat : callable
         Called with a link after each heartbeat on it.
     meter : RequestTrafficMeter
         Gets all other links.
