--- a/src/wisteriapulley/entry/at_most_once.py
+++ b/src/wisteriapulley/entry/at_most_once.py
@@ -367,7 +367,7 @@
         if frame.message.state == UNKNOWN:
             raise RequestError(
                 ResultCode.MAY_HAVE_RUN,
-                "the target restarted and has no record of the attempt",
+                "the target has no record of the attempt; it may have restarted",
             )
         return await self.dispatcher.read_head(request, call)
 
--- a/src/wisteriapulley/sidecar/engine.py
+++ b/src/wisteriapulley/sidecar/engine.py
@@ -119,7 +119,7 @@
     async def watch_order(self, order: LoadOrder, post_task: asyncio.Task) -> None:
         """Wait for the response to an order, or for the state that it requests.
 
-        The connection of the order may stall for good while the engine goes on, so
+        The connection of the order may stall for good while the engine continues, so
         the state is polled on other connections.
         """
         idle_polls = 0
--- a/src/wisteriapulley/sidecar/switch.py
+++ b/src/wisteriapulley/sidecar/switch.py
@@ -137,7 +137,9 @@
             except WisteriapulleyError as error:
                 self.detail = str(error)
                 log.warning(
-                    "version switch failed: %s", error, extra=fields(code=error.code)
+                    "reconciling the target failed: %s",
+                    error,
+                    extra=fields(code=error.code),
                 )
                 delay_s = FAILURE_BACKOFF_S
             self.on_change()
@@ -156,7 +158,7 @@
         """Take one step towards the catalogue's version."""
         entry = self.desired_entry()
         if entry is not None and entry.version:
-            # A download does not need the engine and goes on while that restarts.
+            # A download does not need the engine and continues while that restarts.
             self.start_download(entry)
         state = await self.observe_engine()
         if entry is None or self.chart.state == "leaving":
@@ -332,7 +334,7 @@
             if entry is not None and entry.version == version:
                 return True
         except TimeoutError:
-            self.detail = "version switch put off: requests ran longer than drain_ms"
+            self.detail = "version switch postponed: requests ran longer than drain_ms"
         if self.chart.can("reopen"):
             self.chart.fire("reopen")
             self.on_change()
