--- a/bench/turned_away.py
+++ b/bench/turned_away.py
@@ -35,7 +35,7 @@
 from wisteriapulley.policy.choice import Load
 from wisteriapulley.policy.circuit_breaker import SendOutcome
 from wisteriapulley.policy.statements import StatedRest, Statements, TargetLoad
-from wisteriapulley.rollout.granting import Granting
+from wisteriapulley.rollout.admission import SlotAdmission
 from wisteriapulley.routing import (
     Route,
     RouteKind,
@@ -229,7 +229,7 @@
 class SidecarLink(WrittenLink):
     """An entry's link to a sidecar in the same process."""
 
-    def __init__(self, name: str, granting: Granting):
+    def __init__(self, name: str, granting: SlotAdmission):
         super().__init__()
         self.peer_id = name
         self.peer = Hello(1, name, "entry", 1, "z", b"")
@@ -255,7 +255,7 @@
 class VirtualSidecars:
     """Sidecars in the same process; see `direct.sidecars.Sidecars`."""
 
-    def __init__(self, name: str, grantings: dict[str, Granting]):
+    def __init__(self, name: str, grantings: dict[str, SlotAdmission]):
         self.links = {
             target: SidecarLink(name, granting)
             for target, granting in grantings.items()
@@ -496,13 +496,13 @@
         )
 
 
-def granting() -> Granting:
+def granting() -> SlotAdmission:
     """Make an open queue of one engine's places."""
     knowledge = SimpleNamespace(held_version=lambda: 1, is_near=lambda link: False)
-    made = Granting(knowledge)
+    made = SlotAdmission(knowledge)
     made.server = SimpleNamespace(links=())
-    made.places.engine = ENGINE
-    made.places.open = True
+    made.slots.engine = ENGINE
+    made.slots.open = True
     return made
 
 
--- a/src/wisteriapulley/control/commands.py
+++ b/src/wisteriapulley/control/commands.py
@@ -92,7 +92,7 @@
 
 COMMAND_DECODER = msgspec.msgpack.Decoder(Command)
 # Which role may send which command over its links.
-ALLOWED = {
+ALLOWED_COMMANDS = {
     "entry": (PutClaim,),
     "sidecar": (AcquirePermit, ReleasePermit),
     "control": (
@@ -104,7 +104,7 @@
         PutWeights,
     ),
 }
-RESULTS = {
+RESULT_TYPES = {
     ChangeCatalogue: ChangeResult,
     PutClaim: ClaimResult,
     AcquirePermit: PermitResult,
@@ -121,4 +121,4 @@
 
 def decode_result(command: Command, data: bytes) -> Result:
     """Decode the result of `command`."""
-    return msgspec.msgpack.decode(data, type=RESULTS[type(command)])
+    return msgspec.msgpack.decode(data, type=RESULT_TYPES[type(command)])
--- a/src/wisteriapulley/control/driver.py
+++ b/src/wisteriapulley/control/driver.py
@@ -29,28 +29,28 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.02
+MIN_TICK_S = 0.02
 # A leader whose disk takes longer for one sync gives up its lead: it could
 # acknowledge nothing, and the others elect a leader within two seconds.
-STALLED_MS = 600.0
+MAX_SYNC_MS = 600.0
 # A deadline may move nearer while the driver sleeps: it looks this often.
-IDLE_S = 0.1
-PROPOSE_S = 3.0
+MAX_TICK_S = 0.1
+PROPOSE_TIMEOUT_S = 3.0
 # A full disk is tried again this often: a small write, and the others do without
 # this instance meanwhile.
-ROOM_MS = 250.0
+DISK_RETRY_MS = 250.0
 RETRY_AFTER_MS = 1000
 # A disk that is no member yet asks this often to be taken in.
-JOIN_S = 0.2
+JOIN_RETRY_S = 0.2
 # A commit is noted on the disk this often: one write for all commits of a tenth of a
 # second, which is far below the time that an election takes after a start.
-NOTE_EVERY_MS = 100.0
+COMMIT_SAVE_INTERVAL_MS = 100.0
 # Of a snapshot in one message: a few milliseconds of a follower's disk, so that
 # a transfer never holds heartbeats up for long.
-PART_BYTES = 1 << 18
+SNAPSHOT_PART_BYTES = 1 << 18
 # Handing the lead over takes a round trip or two; past this time the others
 # elect a leader by themselves.
-HAND_OVER_S = 1.0
+TRANSFER_TIMEOUT_S = 1.0
 
 REPLICA_MESSAGES = (
     messages.VoteRequest,
@@ -117,14 +117,14 @@
             state.restore(self.storage.read_snapshot())
         self.replica = self.new_replica(identity, STARTED_MS)
         self.next_join_ms = 0.0
-        self.next_note_ms = 0.0
-        self.waiting: dict[int, tuple[int, asyncio.Future]] = {}
+        self.next_commit_save_ms = 0.0
+        self.pending: dict[int, tuple[int, asyncio.Future]] = {}
         self.applied = asyncio.Condition()
         self.wakeup = asyncio.Event()
         self.tasks: list[asyncio.Task] = []
         self.failed = False
         self.suspended = False
-        self.next_room_ms = 0.0
+        self.next_disk_retry_ms = 0.0
         if self.storage.failure is not None:
             self.suspend(self.storage.failure)
         self.syncing_since_ms: float | None = None
@@ -166,20 +166,20 @@
     async def tick(self) -> None:
         """Wake the replica when its next deadline comes."""
         while True:
-            await asyncio.sleep(self.pause_s())
-            self.yield_if_stalled()
+            await asyncio.sleep(self.tick_delay_s())
+            self.step_down_if_stalled()
             self.wakeup.set()
 
-    def yield_if_stalled(self) -> None:
+    def step_down_if_stalled(self) -> None:
         """Give up the lead while the disk answers nothing."""
         since_ms = self.syncing_since_ms
         if since_ms is None or not self.replica.is_leader:
             return
-        if steady_ms() - since_ms > STALLED_MS:
+        if steady_ms() - since_ms > MAX_SYNC_MS:
             log.warning("the disk stalls: giving up the lead")
             self.replica.step_down()
 
-    def pause_s(self) -> float:
+    def tick_delay_s(self) -> float:
         """Return how long the replica has nothing to do by itself.
 
         A fixed pace of TICK_S took most of an idle instance's processor time.
@@ -188,15 +188,15 @@
         deadline_ms = (
             replica.next_beat_ms if replica.is_leader else (replica.election_at_ms)
         )
-        if self.owes_note and not self.suspended:
+        if self.commit_index_unsaved and not self.suspended:
             # Without this an idle instance notes a commit only at its next tick,
             # up to IDLE_S late, and a stop until then loses the note.
-            deadline_ms = min(deadline_ms, self.next_note_ms)
+            deadline_ms = min(deadline_ms, self.next_commit_save_ms)
         pause_s = (deadline_ms - steady_ms()) / 1000
-        return min(max(pause_s, TICK_S), IDLE_S)
+        return min(max(pause_s, MIN_TICK_S), MAX_TICK_S)
 
     @property
-    def owes_note(self) -> bool:
+    def commit_index_unsaved(self) -> bool:
         """Whether more is applied than the disk's note says is committed."""
         return self.replica.applied_index > self.storage.committed
 
@@ -210,22 +210,22 @@
             await self.wakeup.wait()
             self.wakeup.clear()
             try:
-                await self.turn()
+                await self.run_batch()
             except NoRoomError as error:
                 self.suspend(error)
             except StorageError as error:
                 self.fail(error)
                 return
 
-    async def turn(self) -> None:
+    async def run_batch(self) -> None:
         """Take the effects of one batch, or wait for room on a full disk."""
         if self.suspended:
             self.apply_committed()
-            await self.resume_if_room()
+            await self.resume_if_writable()
             return
         self.replica.tick(steady_ms())
-        self.ask_to_join()
-        await self.take_effects()
+        self.request_join()
+        await self.process_ready()
 
     def suspend(self, error: StorageError) -> None:
         """Take no part in the quorum while the disk is full.
@@ -236,20 +236,20 @@
         log.error("the disk is full, no vote until there is room: %s", error)
         self.suspended = True
         self.replica.suspend()
-        for _, future in self.waiting.values():
+        for _, future in self.pending.values():
             if not future.done():
                 future.set_exception(no_quorum("the disk is full"))
 
-    async def resume_if_room(self) -> None:
+    async def resume_if_writable(self) -> None:
         """Read the disk again, and take part, once it takes writes.
 
         What was in memory only was never acknowledged, and is forgotten.
         """
         now_ms = steady_ms()
-        if now_ms < self.next_room_ms:
+        if now_ms < self.next_disk_retry_ms:
             return
-        self.next_room_ms = now_ms + ROOM_MS
-        if not await self.on_disk(self.storage.has_room):
+        self.next_disk_retry_ms = now_ms + DISK_RETRY_MS
+        if not await self.run_on_disk(self.storage.has_room):
             return
         self.storage.close()
         folder = self.settings.data_folder
@@ -276,7 +276,7 @@
                 task.cancel()
         self.on_fatal(error)
 
-    async def take_effects(self) -> None:
+    async def process_ready(self) -> None:
         """Send what needs no sync, sync, send the rest, then apply."""
         self.replica.flush_if_pending()
         ready = self.replica.ready()
@@ -286,12 +286,12 @@
             # The transport writes at the end of this turn of the loop: let it,
             # so that the followers' syncs run at the same time as this one.
             await asyncio.sleep(0)
-        await self.sync(ready)
+        await self.persist(ready)
         for node_id, message in ready.messages:
             self.send(node_id, message)
         committed = self.apply_committed()
         await self.compact_if_due()
-        await self.note_committed()
+        await self.save_commit_index()
         if committed or ready.snapshot is not None:
             async with self.applied:
                 self.applied.notify_all()
@@ -303,30 +303,30 @@
             self.apply(record)
         return committed
 
-    async def sync(self, ready: Ready) -> None:
+    async def persist(self, ready: Ready) -> None:
         """Make the effects last, in a thread: a disk may stall for seconds.
 
         Replica messages that come meanwhile only add to the next batch.
         """
         if ready.hard_state is not None or ready.records:
-            await self.on_disk(
+            await self.run_on_disk(
                 self.storage.save,
                 ready.hard_state,
                 ready.records,
                 self.settings.group_commit,
             )
         if ready.snapshot is not None:
-            await self.on_disk(
+            await self.run_on_disk(
                 self.storage.save_snapshot,
                 ready.snapshot,
                 self.hard_state(),
-                self.copied_log(),
+                self.copy_log(),
             )
             self.state.restore(ready.snapshot.data)
-            self.drop_waiting(ready.snapshot.last_index)
+            self.fail_pending(ready.snapshot.last_index)
         self.replica.synced(ready)
 
-    async def on_disk(self, operation, *arguments: object) -> object:
+    async def run_on_disk(self, operation, *arguments: object) -> object:
         """Run one disk operation in a thread and note how long it takes."""
         self.syncing_since_ms = steady_ms()
         try:
@@ -334,7 +334,7 @@
         finally:
             self.syncing_since_ms = None
 
-    def copied_log(self) -> Log:
+    def copy_log(self) -> Log:
         """Copy the log for the disk's thread, as the replica goes on with it."""
         held = self.replica.log
         return Log(held.base_index, held.base_term, held.records)
@@ -343,13 +343,13 @@
         """Return the hard state in memory, as new as what is synced or newer."""
         return HardState(self.replica.term, self.replica.voted_for)
 
-    async def note_committed(self) -> None:
+    async def save_commit_index(self) -> None:
         """Note on the disk how far the log is committed, but not each time."""
         now_ms = steady_ms()
-        if not self.owes_note or now_ms < self.next_note_ms:
+        if not self.commit_index_unsaved or now_ms < self.next_commit_save_ms:
             return
-        self.next_note_ms = now_ms + NOTE_EVERY_MS
-        await self.on_disk(self.storage.note_committed, self.replica.applied_index)
+        self.next_commit_save_ms = now_ms + COMMIT_SAVE_INTERVAL_MS
+        await self.run_on_disk(self.storage.note_committed, self.replica.applied_index)
 
     async def compact_if_due(self) -> None:
         """Replace the log by a snapshot when it has outgrown the state.
@@ -362,20 +362,20 @@
         if self.storage.appended_bytes < max(self.settings.snapshot_bytes, last):
             return
         snapshot = self.replica.compact(self.state.snapshot())
-        await self.on_disk(
+        await self.run_on_disk(
             self.storage.save_snapshot,
             snapshot,
             self.hard_state(),
-            self.copied_log(),
+            self.copy_log(),
         )
 
-    def ask_to_join(self) -> None:
+    def request_join(self) -> None:
         """Ask every peer to be taken in, while this disk is no member."""
         replica = self.replica
         if replica.is_member or replica.identity in replica.members.removed:
             return
         if replica.now_ms >= self.next_join_ms:
-            self.next_join_ms = replica.now_ms + JOIN_S * 1000
+            self.next_join_ms = replica.now_ms + JOIN_RETRY_S * 1000
             message = messages.JoinRequest(0, replica.node_id, replica.identity)
             for node_id in self.peers:
                 self.send(node_id, message)
@@ -385,7 +385,7 @@
         if isinstance(message, messages.SnapshotPart):
             if message.last_index != self.storage.snapshot.last_index:
                 return
-            data = self.storage.snapshot_part(message.offset, PART_BYTES)
+            data = self.storage.snapshot_part(message.offset, SNAPSHOT_PART_BYTES)
             message = message._replace(data=data)
         link = self.link_to(node_id)
         if link is not None:
@@ -413,10 +413,10 @@
             return
         self.wakeup.set()
 
-    def drop_waiting(self, index: int) -> None:
+    def fail_pending(self, index: int) -> None:
         """Answer proposals that a snapshot covers: their outcome is not known."""
-        for waiting in [i for i in self.waiting if i <= index]:
-            _, future = self.waiting.pop(waiting)
+        for waiting in [i for i in self.pending if i <= index]:
+            _, future = self.pending.pop(waiting)
             if not future.done():
                 future.set_exception(no_quorum("another leader took over"))
 
@@ -426,7 +426,7 @@
         if record.kind == RecordKind.COMMAND:
             result = self.state.apply(record.index, record.data)
             self.on_applied(result)
-        term, future = self.waiting.pop(record.index, (0, None))
+        term, future = self.pending.pop(record.index, (0, None))
         if future is None or future.done():
             return
         if term == record.term:
@@ -449,22 +449,22 @@
     async def propose_here(self, command: Command) -> Result:
         """Commit a command as the leader."""
         data = encode(stamp(command, unix_ms()))
-        return await self.committed(self.replica.propose(data))
+        return await self.wait_committed(self.replica.propose(data))
 
-    async def committed(self, index: int | None) -> Result | None:
+    async def wait_committed(self, index: int | None) -> Result | None:
         """Wait until the record at `index` of this leader's term is applied."""
         if index is None:
             raise no_quorum("this instance does not lead, or may not change it now")
         future = asyncio.get_running_loop().create_future()
-        self.waiting[index] = (self.replica.term, future)
+        self.pending[index] = (self.replica.term, future)
         self.wakeup.set()
         try:
-            async with asyncio.timeout(PROPOSE_S):
+            async with asyncio.timeout(PROPOSE_TIMEOUT_S):
                 return await future
         except TimeoutError as error:
             raise no_quorum("no majority answered in time") from error
         finally:
-            self.waiting.pop(index, None)
+            self.pending.pop(index, None)
 
     @property
     def leader_link(self):
@@ -480,7 +480,7 @@
             NO_QUORUM: no leader with a lease answers.
         """
         lease = await self.lease()
-        async with asyncio.timeout(PROPOSE_S):
+        async with asyncio.timeout(PROPOSE_TIMEOUT_S):
             async with self.applied:
                 await self.applied.wait_for(
                     lambda: self.replica.applied_index >= lease.index
@@ -513,16 +513,16 @@
         """Ready when a leader is known and this disk has its vote."""
         return bool(self.replica.leader) and self.replica.is_voter
 
-    async def hand_over(self) -> None:
+    async def transfer_leadership(self) -> None:
         """Give the lead to another voter, so that nobody waits for a timeout."""
-        deadline_ms = steady_ms() + HAND_OVER_S * 1000
+        deadline_ms = steady_ms() + TRANSFER_TIMEOUT_S * 1000
         if not (self.replica.is_leader and self.replica.other_voters()):
             return
         self.replica.handing_over = True
         while self.replica.is_leader and steady_ms() < deadline_ms:
             asked = self.replica.hand_over()
             self.wakeup.set()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(MIN_TICK_S)
             if asked:
                 return
         self.replica.handing_over = False
@@ -530,7 +530,7 @@
     async def stop(self) -> None:
         """Hand the lead over, stop ticking and close the disk."""
         if not self.failed:
-            await self.hand_over()
+            await self.transfer_leadership()
         for task in self.tasks:
             task.cancel()
         self.storage.close()
--- a/src/wisteriapulley/control/following.py
+++ b/src/wisteriapulley/control/following.py
@@ -15,7 +15,7 @@
 
 from wisteriapulley.clocks import steady_s
 from wisteriapulley.control.client import ISOLATED_STATE
-from wisteriapulley.control.nearest import by_nearness, to_follow
+from wisteriapulley.control.nearest import by_nearness, instances_to_follow
 from wisteriapulley.control.orders import unpack_table
 from wisteriapulley.errors import WisteriapulleyError
 from wisteriapulley.logs import fields
@@ -32,23 +32,23 @@
 
 # An instance of the own region pushes a new table within this time; only a
 # table that did not come is asked for over a region's border.
-PULL_AFTER_S = 0.15
-FOLLOW_S = 1.5
+PULL_DELAY_S = 0.15
+FOLLOW_TIMEOUT_S = 1.5
 # Wanted by nobody who only asks for weights: no table is that new.
-NO_TABLE = (1 << 63) - 1
+NO_TABLE_VERSION = (1 << 63) - 1
 # Which instances to follow is looked at this often, beside each time that a link
 # opens or closes or that instances are named.
-CHOOSE_S = 0.25
+CHOOSE_INTERVAL_S = 0.25
 # A first connection within a region takes milliseconds; past this time the next
 # instance is tried beside it.
-FIRST_ANSWER_S = 0.5
+FIRST_RESPONSE_TIMEOUT_S = 0.5
 # One that did not answer for so long gives its place in the order to the others,
 # and is tried again after a pause: a restart takes a second or two.
-GIVE_UP_S = 3.0
-AVOID_S = 4.0
+UNRESPONSIVE_AFTER_S = 3.0
+AVOID_DURATION_S = 4.0
 
 
-class Followed:
+class FollowedInstance:
     """One control instance that this process follows.
 
     Attributes
@@ -63,21 +63,21 @@
 
     def __init__(self, keeper: LinkKeeper, now_s: float):
         self.keeper = keeper
-        self.is_heard = False
-        self.chosen_s = now_s
-        self.heard_s = now_s
+        self.has_responded = False
+        self.connecting_since_s = now_s
+        self.last_usable_s = now_s
 
-    def gives_news(self, now_s: float) -> bool:
+    def check_usable(self, now_s: float) -> bool:
         """Tell, and note, whether it can be relied on.
 
         One that has not had time to answer yet counts as one that can.
         """
         link = self.keeper.open_link
-        if link is None or not self.is_heard:
-            return now_s - self.chosen_s < FIRST_ANSWER_S
+        if link is None or not self.has_responded:
+            return now_s - self.connecting_since_s < FIRST_RESPONSE_TIMEOUT_S
         if link.peer_heartbeat.state == ISOLATED_STATE:
             return False
-        self.heard_s = now_s
+        self.last_usable_s = now_s
         return True
 
 
@@ -104,7 +104,7 @@
         settings: NodeSettings,
         seeds: Iterable[Address],
         heartbeat: Callable[[], messages.Heartbeat],
-        wants_table: bool = True,
+        follow_routing: bool = True,
     ):
         self.identity = identity
         self.settings = settings
@@ -112,35 +112,37 @@
         self.own = Member(identity.node_id, settings.failure_domain)
         self.regions = Regions(settings.failure_domain_regions)
         self.heartbeat = heartbeat
-        self.wants_table = wants_table
+        self.follow_routing = follow_routing
         self.table = RoutingTable(0)
         self.fresh = False
         self.versions = NamedVersions()
         self.engines: dict[str, Engine] = {}
         # Failure domain of each known instance by host; empty where not known.
         self.instances: dict[str, str] = {}
-        self.followed: dict[str, Followed] = {}
+        self.followed: dict[str, FollowedInstance] = {}
         self.avoided_until_s: dict[str, float] = {}
-        self.choosing: asyncio.Task | None = None
-        self.pulling: asyncio.Task | None = None
+        self.choose_task: asyncio.Task | None = None
+        self.pull_task: asyncio.Task | None = None
         self.on_table: Callable[[RoutingTable], None] = ignore
         self.on_models: Callable[[], None] = ignore
         self.on_targets: Callable[[tuple[messages.TargetState, ...]], None] = ignore
         self.on_suspects: Callable[[messages.SuspectNews], None] = ignore
         # Makes what an instance is told that is followed from now on.
-        self.own_news: Callable[[], messages.SuspectNews] = messages.SuspectNews
+        self.own_suspects: Callable[[], messages.SuspectNews] = messages.SuspectNews
         # Takes beats of targets; returns those of which news were missed.
-        self.on_beats: Callable[[tuple[messages.TargetBeat, ...]], list[str]] = no_names
+        self.on_heartbeats: Callable[[tuple[messages.TargetBeat, ...]], list[str]] = (
+            none_missed
+        )
 
     def start(self) -> None:
         """Begin to follow the seeds."""
-        self.meet(seed.host for seed in self.seeds)
-        self.choosing = asyncio.get_running_loop().create_task(self.choose_loop())
+        self.add_instances(seed.host for seed in self.seeds)
+        self.choose_task = asyncio.get_running_loop().create_task(self.choose_loop())
 
     async def stop(self) -> None:
         """Close all links."""
-        if self.choosing is not None:
-            self.choosing.cancel()
+        if self.choose_task is not None:
+            self.choose_task.cancel()
         # Emptied first, so that links that close now make it choose no others.
         ended, self.followed = self.followed, {}
         for followed in ended.values():
@@ -151,18 +153,18 @@
         links = (followed.keeper.open_link for followed in self.followed.values())
         return [link for link in links if link is not None]
 
-    def tell(self, news: messages.SuspectNews) -> None:
+    def publish(self, update: messages.SuspectNews) -> None:
         """Tell the instances that are followed."""
-        broadcast(self.open_links(), news)
+        broadcast(self.open_links(), update)
 
-    def entries_told(self) -> int:
+    def entries_reported(self) -> int:
         """Return how many entries there are, as far as an instance knows."""
         told = (link.peer_heartbeat.entries for link in self.open_links())
         return max(told, default=0)
 
     # -- whom to follow --------------------------------------------------
 
-    def meet(self, hosts: Iterable[str]) -> None:
+    def add_instances(self, hosts: Iterable[str]) -> None:
         """Know of instances; where they are is told by those that are followed."""
         for host in hosts:
             self.instances.setdefault(host, "")
@@ -171,41 +173,44 @@
     async def choose_loop(self) -> None:
         """Choose again and again: silence gives no event."""
         while True:
-            await asyncio.sleep(CHOOSE_S)
+            await asyncio.sleep(CHOOSE_INTERVAL_S)
             self.choose()
 
     def choose(self) -> None:
         """Follow the nearest instances that answer, and no others."""
         now_s = steady_s()
-        self.avoid_silent(now_s)
+        self.avoid_unresponsive(now_s)
         order = by_nearness(
             self.instances, self.own, self.regions, self.avoided_until_s
         )
-        chosen = to_follow(order, lambda host: self.gives_news(host, now_s))
+        chosen = instances_to_follow(order, lambda host: self.is_usable(host, now_s))
         for host in chosen:
             if host not in self.followed:
-                self.begin(host, now_s)
+                self.connect(host, now_s)
         for host in set(self.followed) - set(chosen):
-            self.end(host)
+            self.disconnect(host)
 
-    def gives_news(self, host: str, now_s: float) -> bool:
+    def is_usable(self, host: str, now_s: float) -> bool:
         """Tell whether an instance gives news, or would be tried just now."""
         followed = self.followed.get(host)
-        return followed is None or followed.gives_news(now_s)
+        return followed is None or followed.check_usable(now_s)
 
-    def avoid_silent(self, now_s: float) -> None:
+    def avoid_unresponsive(self, now_s: float) -> None:
         """Put instances last in the order that gave no news for long."""
         for host, until_s in tuple(self.avoided_until_s.items()):
             if now_s >= until_s:
                 del self.avoided_until_s[host]
         for host, followed in self.followed.items():
-            if followed.gives_news(now_s) or now_s - followed.heard_s < GIVE_UP_S:
+            if (
+                followed.check_usable(now_s)
+                or now_s - followed.last_usable_s < UNRESPONSIVE_AFTER_S
+            ):
                 continue
             if host not in self.avoided_until_s:
                 log.info("control instance avoided", extra=fields(peer=host))
-                self.avoided_until_s[host] = now_s + AVOID_S
+                self.avoided_until_s[host] = now_s + AVOID_DURATION_S
 
-    def begin(self, host: str, now_s: float) -> None:
+    def connect(self, host: str, now_s: float) -> None:
         """Keep a link to an instance."""
         keeper = LinkKeeper(
             [Address(host, self.seeds[0].port)],
@@ -213,12 +218,12 @@
             self.handle,
             self.heartbeat,
             self.settings,
-            self.follow,
+            self.link_opened,
         )
-        self.followed[host] = Followed(keeper, now_s)
+        self.followed[host] = FollowedInstance(keeper, now_s)
         keeper.start()
 
-    def end(self, host: str) -> None:
+    def disconnect(self, host: str) -> None:
         """Close the link to an instance: nearer ones answer."""
         log.info("control instance left", extra=fields(peer=host))
         keeper = self.followed.pop(host).keeper
@@ -227,52 +232,52 @@
 
     # -- news ------------------------------------------------------------
 
-    async def follow(self, link: Link) -> None:
+    async def link_opened(self, link: Link) -> None:
         """Ask an instance for its news; a failure leaves the link to others."""
-        link.on_heartbeat = self.heard_heartbeat
+        link.on_heartbeat = self.check_heartbeat
         link.on_close = self.link_closed
         log.info("control instance found", extra=fields(peer=link.peer_id))
-        own = self.own_news()
+        own = self.own_suspects()
         if own.suspects:
             link.post(own)
         await self.pull(link)
-        followed = self.followed_by(link)
+        followed = self.followed_over(link)
         if followed is not None:
-            followed.is_heard = True
+            followed.has_responded = True
             self.choose()
 
-    def followed_by(self, link: Link) -> Followed | None:
+    def followed_over(self, link: Link) -> FollowedInstance | None:
         """Return the instance behind a link, if it is followed."""
         found = (f for f in self.followed.values() if f.keeper.link is link)
         return next(found, None)
 
     def link_closed(self, link: Link) -> None:
         """Turn to the next instance."""
-        followed = self.followed_by(link)
+        followed = self.followed_over(link)
         if followed is not None:
-            followed.is_heard = False
-            followed.chosen_s = float("-inf")
+            followed.has_responded = False
+            followed.connecting_since_s = float("-inf")
             self.choose()
 
     async def pull(self, link: Link) -> None:
         """Take the table that an instance has in force."""
-        known = self.table.version if self.wants_table else NO_TABLE
+        known = self.table.version if self.follow_routing else NO_TABLE_VERSION
         try:
-            frame = await link.request(messages.Follow(known), FOLLOW_S)
+            frame = await link.request(messages.Follow(known), FOLLOW_TIMEOUT_S)
         except WisteriapulleyError as error:
             log.info("no news of %s: %s", link.peer_id, error)
             return
         await self.handle(link, frame)
 
-    def heard_heartbeat(self, link: Link) -> None:
+    def check_heartbeat(self, link: Link) -> None:
         """Ask for a newer table soon, unless it comes by itself."""
-        if not self.wants_table or self.pulling is not None:
+        if not self.follow_routing or self.pull_task is not None:
             return
-        if self.lacks_word_of(link):
+        if self.is_behind(link):
             loop = asyncio.get_running_loop()
-            self.pulling = loop.create_task(self.pull_later(link))
+            self.pull_task = loop.create_task(self.pull_later(link))
 
-    def lacks_word_of(self, link: Link) -> bool:
+    def is_behind(self, link: Link) -> bool:
         """Tell whether an instance has a newer table, or could confirm this one."""
         told = link.peer_heartbeat
         if told.routing_version > self.table.version:
@@ -282,40 +287,40 @@
     async def pull_later(self, link: Link) -> None:
         """Ask for the table of a heartbeat if it still is missing."""
         try:
-            await asyncio.sleep(PULL_AFTER_S)
-            if self.lacks_word_of(link):
+            await asyncio.sleep(PULL_DELAY_S)
+            if self.is_behind(link):
                 await self.pull(link)
         finally:
-            self.pulling = None
+            self.pull_task = None
 
     async def handle(self, link: Link, frame: Frame) -> None:
         """Take news in."""
         if isinstance(frame.message, messages.TargetBeats):
-            self.take_beats(frame.message, link)
+            self.receive_heartbeats(frame.message, link)
         else:
-            self.take(frame.message)
+            self.receive(frame.message)
 
-    def take_beats(self, message: messages.TargetBeats, link: Link) -> None:
+    def receive_heartbeats(self, message: messages.TargetBeats, link: Link) -> None:
         """Take in which targets were heard again; ask for missed news."""
-        missed = self.on_beats(message.beats)
+        missed = self.on_heartbeats(message.beats)
         if missed:
             log.info("news of targets missed", extra=fields(targets=len(missed)))
             link.post(messages.TargetQuery(tuple(missed)))
 
     @singledispatchmethod
-    def take(self, message: tuple) -> None:
+    def receive(self, message: tuple) -> None:
         """Take in a message, by its kind."""
         log.warning("unexpected %s", type(message).__name__)
 
-    @take.register
-    def take_routing(self, message: messages.RoutingNews) -> None:
+    @receive.register
+    def receive_routing(self, message: messages.RoutingNews) -> None:
         """Handle the message `RoutingNews`."""
         if message.content and message.version > self.table.version:
-            self.adopt(message.content)
+            self.apply_table(message.content)
         if message.fresh and self.table.version >= message.version:
             self.fresh = True
 
-    def adopt(self, content: bytes) -> None:
+    def apply_table(self, content: bytes) -> None:
         """Put a newer table in force here."""
         try:
             self.table = unpack_table(content)
@@ -325,17 +330,17 @@
         log.info("routing table in force", extra=fields(revision=self.table.version))
         self.on_table(self.table)
 
-    @take.register
-    def take_models(self, message: messages.ModelNews) -> None:
+    @receive.register
+    def receive_models(self, message: messages.ModelNews) -> None:
         """Handle the message `ModelNews`."""
         now_s = steady_s()
         for state in message.models:
             self.engines[state.service] = engine_of(state)
             for named in state.named:
-                self.take_version(state.model, named, now_s)
+                self.record_version(state.model, named, now_s)
         self.on_models()
 
-    def take_version(
+    def record_version(
         self, model: str, named: messages.VersionAge, now_s: float
     ) -> None:
         """Keep a version, and the earliest word of it."""
@@ -345,18 +350,18 @@
                 extra=fields(model=model, version=named.version, age_ms=named.age_ms),
             )
 
-    @take.register
-    def take_targets(self, message: messages.TargetNews) -> None:
+    @receive.register
+    def receive_targets(self, message: messages.TargetNews) -> None:
         """Handle the message `TargetNews`."""
         self.on_targets(message.targets)
 
-    @take.register
-    def take_suspects(self, message: messages.SuspectNews) -> None:
+    @receive.register
+    def receive_suspects(self, message: messages.SuspectNews) -> None:
         """Handle the message `SuspectNews`."""
         self.on_suspects(message)
 
-    @take.register
-    def take_hosts(self, message: messages.ControlNews) -> None:
+    @receive.register
+    def receive_hosts(self, message: messages.ControlNews) -> None:
         """Handle the message `ControlNews`."""
         domains = message.failure_domains or ("",) * len(message.hosts)
         named = zip(message.hosts, domains, strict=True)
@@ -383,6 +388,6 @@
     """Take news that nobody asked for."""
 
 
-def no_names(*news: object) -> list[str]:
+def none_missed(*news: object) -> list[str]:
     """Miss nothing of news that nobody asked for."""
     return []
--- a/src/wisteriapulley/control/nearest.py
+++ b/src/wisteriapulley/control/nearest.py
@@ -15,10 +15,10 @@
 
 # Instances that a follower hears at the same time: one that dies, stalls or lags
 # costs nothing while the other is heard.
-FOLLOWED = 2
+FOLLOWED_INSTANCES = 2
 # Of those that do not answer, so many are tried beside them at once: a loss of a
 # whole region is passed over in one step, and a loss of all ends without a storm.
-TRIED_MOST = 5
+MAX_UNANSWERED = 5
 
 
 def by_nearness(
@@ -62,11 +62,13 @@
     followers : sequence of int
         Entries that follow each instance.
     """
-    each = min(FOLLOWED, len(followers))
+    each = min(FOLLOWED_INSTANCES, len(followers))
     return math.ceil(sum(followers) / each)
 
 
-def to_follow(order: Iterable[str], is_heard: Callable[[str], bool]) -> list[str]:
+def instances_to_follow(
+    order: Iterable[str], answers: Callable[[str], bool]
+) -> list[str]:
     """Return the first instances of an order, until enough of them are heard.
 
     Parameters
@@ -79,8 +81,11 @@
     chosen: list[str] = []
     heard = 0
     for host in order:
-        if heard == FOLLOWED or len(chosen) == FOLLOWED + TRIED_MOST:
+        if (
+            heard == FOLLOWED_INSTANCES
+            or len(chosen) == FOLLOWED_INSTANCES + MAX_UNANSWERED
+        ):
             break
         chosen.append(host)
-        heard += is_heard(host)
+        heard += answers(host)
     return chosen
--- a/src/wisteriapulley/control/permits.py
+++ b/src/wisteriapulley/control/permits.py
@@ -46,12 +46,12 @@
         PermitResult
             OK with the fencing number, or PERMIT_DENIED.
         """
-        counted = request.serving or self.is_out(request)
+        counted = request.serving or self.is_unavailable(request)
         # Load: a new version reaches all targets of a service at once. Harm
         # prevented: more of them out together than the owner allowed. A target
         # that failed in its switch keeps its place: a version that no engine
         # loads then stops at max_unavailable targets.
-        if request.serving and self.count_out(request) >= max_unavailable:
+        if request.serving and self.count_unavailable(request) >= max_unavailable:
             return PermitResult(ResultCode.PERMIT_DENIED)
         self.permits[request.target] = Permit(
             request.service,
@@ -63,7 +63,7 @@
         )
         return PermitResult(ResultCode.OK, index)
 
-    def is_out(self, request: AcquirePermit) -> bool:
+    def is_unavailable(self, request: AcquirePermit) -> bool:
         """Tell whether this target left service under its standing permit."""
         permit = self.permits.get(request.target)
         return (
@@ -72,7 +72,7 @@
             and permit.incarnation == request.incarnation
         )
 
-    def count_out(self, request: AcquirePermit) -> int:
+    def count_unavailable(self, request: AcquirePermit) -> int:
         """Count other targets that are out in the same failure domain."""
         return sum(
             permit.counted
--- a/src/wisteriapulley/control/quorum_members.py
+++ b/src/wisteriapulley/control/quorum_members.py
@@ -77,7 +77,7 @@
         if node_id == replica.node_id and len(replica.members.voters) > 1:
             await self.service.driver.hand_over()
             raise no_quorum(f"{node_id} handed its lead over; send it again")
-        await self.service.driver.committed(replica.remove_member(node_id))
+        await self.service.driver.wait_committed(replica.remove_member(node_id))
         return json_response(member_list(replica))
 
 
--- a/src/wisteriapulley/control/rate_holder.py
+++ b/src/wisteriapulley/control/rate_owner.py
@@ -20,14 +20,14 @@
 # Of a stated rate that one holder lets pass. While instances are cut off from each
 # other there may be a holder on either side: both together stay within one and a
 # half times the rate.
-SHARE = 0.75
+GRANTED_FRACTION = 0.75
 # A holder that runs answers within a round trip between regions.
-FORWARD_S = 0.1
+FORWARD_TIMEOUT_S = 0.1
 # When to ask again after the holder gave no answer: it is another one, or back.
-LOST_WAIT_MS = 500
+OWNER_LOST_RETRY_MS = 500
 
 
-class RateHolder:
+class RateOwner:
     """The limits that one control instance holds, and the way to the others.
 
     Parameters
@@ -41,9 +41,9 @@
     def __init__(self, own: str, peers: Callable[[], Mapping[str, Link]]):
         self.own = own
         self.peers = peers
-        self.limits = RateLimits(SHARE)
+        self.limits = RateLimits(GRANTED_FRACTION)
 
-    def holder_link(self, target: str) -> Link | None:
+    def owner_link(self, target: str) -> Link | None:
         """Return the link to a target's holder; None where this instance is it."""
         links = self.peers()
         holder = max((self.own, *links), key=lambda name: rendezvous(target, name))
@@ -59,37 +59,37 @@
         from_entry : bool
             Whether another instance may hold the limit.
         """
-        link = self.holder_link(query.target) if from_entry else None
+        link = self.owner_link(query.target) if from_entry else None
         if link is None:
             return self.decide(query)
         try:
-            frame = await link.request(query, FORWARD_S)
+            frame = await link.request(query, FORWARD_TIMEOUT_S)
         except WisteriapulleyError as error:
             log.info("no passage from %s: %s", link.peer_id, error)
-            return Passage(False, LOST_WAIT_MS, True)
+            return Passage(False, OWNER_LOST_RETRY_MS, True)
         return frame.message
 
     def decide(self, query: PassageQuery) -> Passage:
         """Let a request pass, or say when one may."""
         now_s = asyncio.get_running_loop().time()
-        self.hear_at(query, now_s)
+        self.record_rate(query, now_s)
         if self.limits.take(query.target, now_s):
             return Passage(True, 0, self.limits.is_limited(query.target))
         wait_s = self.limits.wait_s(query.target, now_s)
         return Passage(False, int(wait_s * 1000) + 1, True)
 
-    def hear(self, news: TargetRate, from_entry: bool) -> None:
+    def receive_rate(self, update: TargetRate, from_entry: bool) -> None:
         """Take in a target's word, or pass it on to the holder."""
-        link = self.holder_link(news.target) if from_entry else None
+        link = self.owner_link(update.target) if from_entry else None
         if link is not None:
-            link.post(news)
+            link.post(update)
             return
-        self.hear_at(news, asyncio.get_running_loop().time())
+        self.record_rate(update, asyncio.get_running_loop().time())
 
-    def hear_at(self, word: TargetRate | PassageQuery, now_s: float) -> None:
+    def record_rate(self, message: TargetRate | PassageQuery, now_s: float) -> None:
         """Take in what an entry knows of a target's rate."""
-        heard_s = now_s - word.age_ms / 1000
-        self.limits.hear(word.target, word.per_s or None, heard_s)
+        heard_s = now_s - message.age_ms / 1000
+        self.limits.hear(message.target, message.per_s or None, heard_s)
 
     def sweep(self) -> None:
         """Forget targets that are long gone."""
--- a/src/wisteriapulley/control/senders.py
+++ b/src/wisteriapulley/control/senders.py
@@ -1,7 +1,7 @@
 """Who may say what to a control instance."""
 
 from wisteriapulley.control.commands import (
-    ALLOWED,
+    ALLOWED_COMMANDS,
     AcquirePermit,
     Command,
     ReleasePermit,
@@ -19,7 +19,7 @@
         UNEXPECTED_MESSAGE.
     """
     role = link.peer.role
-    if not isinstance(command, ALLOWED.get(role, ())):
+    if not isinstance(command, ALLOWED_COMMANDS.get(role, ())):
         raise WireError(
             ResultCode.UNEXPECTED_MESSAGE,
             f"{role} may not send {type(command).__name__}",
--- a/src/wisteriapulley/control/service.py
+++ b/src/wisteriapulley/control/service.py
@@ -34,7 +34,7 @@
 from wisteriapulley.control.permits import PermitSweeper
 from wisteriapulley.control.pieces import PieceServer
 from wisteriapulley.control.quorum_members import quorum_routes
-from wisteriapulley.control.rate_holder import RateHolder
+from wisteriapulley.control.rate_owner import RateOwner
 from wisteriapulley.control.reports import ReportTable
 from wisteriapulley.control.seeds import prepare_folder, with_folder
 from wisteriapulley.control.senders import check_own, check_sender
@@ -84,7 +84,7 @@
         self.open_origin: Callable[[str], PieceSource] | None = None
         self.entries = 0
         self.orders = Orders(self)
-        self.rates = RateHolder(settings.node_id, self.open_peer_links)
+        self.rates = RateOwner(settings.node_id, self.open_peer_links)
         self.news = News(
             settings,
             self.state,
@@ -420,7 +420,7 @@
         self, message: messages.TargetRate, link: Link, frame: Frame
     ) -> None:
         """Handle the message `TargetRate` of an entry or another instance."""
-        self.rates.hear(message, from_entry=link.peer.role != "control")
+        self.rates.receive_rate(message, from_entry=link.peer.role != "control")
 
     @receive.register
     async def receive_passage_query(
--- a/src/wisteriapulley/control/target_feed.py
+++ b/src/wisteriapulley/control/target_feed.py
@@ -56,7 +56,7 @@
 
     def announced(self, state: TargetState) -> Change:
         """Take in what a target announces here."""
-        change = self.targets.take(state, steady_ms())
+        change = self.targets.update(state, steady_ms())
         if change:
             self.for_peers.add(state.target_id)
             self.changed(state.target_id, change)
@@ -64,7 +64,7 @@
 
     def ended(self, target_id: str) -> TargetState:
         """Take in a target's word that it ends; return the news of it."""
-        state = self.targets.gone(target_id, steady_ms())
+        state = self.targets.mark_gone(target_id, steady_ms())
         self.for_peers.add(target_id)
         self.changed(target_id, Change.MEMBERSHIP)
         return state
@@ -73,7 +73,7 @@
         """Take in what another instance tells."""
         now_ms = steady_ms()
         for state in states:
-            change = self.targets.take(state, now_ms, direct=False)
+            change = self.targets.update(state, now_ms, direct=False)
             if change:
                 self.changed(state.target_id, change)
 
@@ -91,8 +91,8 @@
         changes, self.for_followers = self.for_followers, {}
         peers, self.for_peers = self.for_peers, set()
         now_ms = steady_ms()
-        self.followers.push_targets(self.targets.news(now_ms, changes), changes)
-        states = tuple(self.targets.news(now_ms, peers))
+        self.followers.push_targets(self.targets.states(now_ms, changes), changes)
+        states = tuple(self.targets.states(now_ms, peers))
         if states:
             self.tell_peers(messages.TargetNews(states))
 
@@ -104,8 +104,8 @@
         if now_ms - since_ms < BEATS_S * 1000:
             return
         self.beats_ms = now_ms
-        self.followers.push_beats(tuple(self.targets.beats(now_ms, since_ms)))
-        direct = tuple(self.targets.beats(now_ms, since_ms, direct_only=True))
+        self.followers.push_beats(tuple(self.targets.heartbeats(now_ms, since_ms)))
+        direct = tuple(self.targets.heartbeats(now_ms, since_ms, direct_only=True))
         if direct:
             self.tell_peers(TargetBeats(direct))
 
@@ -115,20 +115,20 @@
         missed = [
             beat.target_id
             for beat in message.beats
-            if not self.targets.beat(beat, now_ms)
+            if not self.targets.record_heartbeat(beat, now_ms)
         ]
         if missed:
             link.post(TargetQuery(tuple(missed)))
 
     def answer(self, query: TargetQuery, link: Link) -> None:
         """Answer with the news of some targets."""
-        states = tuple(self.targets.news(steady_ms(), query.target_ids))
+        states = tuple(self.targets.states(steady_ms(), query.target_ids))
         if states:
             link.post(messages.TargetNews(states))
 
     def all_news(self) -> messages.TargetNews:
         """Make the news of all targets known here."""
-        return messages.TargetNews(tuple(self.targets.news(steady_ms())))
+        return messages.TargetNews(tuple(self.targets.states(steady_ms())))
 
     def stop(self) -> None:
         """Send nothing more."""
--- a/src/wisteriapulley/control/targets.py
+++ b/src/wisteriapulley/control/targets.py
@@ -13,9 +13,9 @@
 
 # A target that left stays known as gone for so long: its late announcements
 # must not bring it back. Longer than a delayed heartbeat is seen to take.
-GONE_KEPT_MS = 60_000.0
+GONE_RETENTION_MS = 60_000.0
 # For so long after its end others are reminded of it, should they have missed it.
-GONE_TOLD_MS = 5000.0
+GONE_REPEAT_MS = 5000.0
 
 
 class Change(IntEnum):
@@ -28,7 +28,7 @@
     MEMBERSHIP = 2
 
 
-class Heard(NamedTuple):
+class TargetRecord(NamedTuple):
     """News of a target.
 
     Attributes
@@ -46,9 +46,9 @@
     """
 
     state: TargetState
-    at_ms: float
-    learned_ms: float
-    sequence: int
+    observed_ms: float
+    updated_ms: float
+    change_sequence: int
     direct: bool
 
 
@@ -63,9 +63,9 @@
 
     def __init__(self, lease_ms: int):
         self.lease_ms = lease_ms
-        self.heard: dict[str, Heard] = {}
+        self.records: dict[str, TargetRecord] = {}
 
-    def take(self, state: TargetState, now_ms: float, direct: bool = True) -> Change:
+    def update(self, state: TargetState, now_ms: float, direct: bool = True) -> Change:
         """Take news in; tell what they change beside the time.
 
         Parameters
@@ -77,35 +77,35 @@
         direct : bool
             Whether the target announced itself here.
         """
-        heard = self.heard.get(state.target_id)
+        heard = self.records.get(state.target_id)
         at_ms = now_ms - state.age_ms
         if heard is None:
-            new = Heard(state, at_ms, now_ms, state.sequence, direct)
-            self.heard[state.target_id] = new
+            new = TargetRecord(state, at_ms, now_ms, state.sequence, direct)
+            self.records[state.target_id] = new
             return Change.MEMBERSHIP
         known = heard.state
         if not is_newer(state, known):
             return Change.NONE
-        state = merged(state, known)
+        state = merge(state, known)
         change = change_between(known, state)
-        sequence = state.sequence if change else heard.sequence
-        new = Heard(state, at_ms, now_ms, sequence, direct)
-        self.heard[state.target_id] = new
+        sequence = state.sequence if change else heard.change_sequence
+        new = TargetRecord(state, at_ms, now_ms, sequence, direct)
+        self.records[state.target_id] = new
         return change
 
-    def beat(self, beat: TargetBeat, now_ms: float) -> bool:
+    def record_heartbeat(self, beat: TargetBeat, now_ms: float) -> bool:
         """Take in that another instance heard a target; tell if its news are known."""
-        heard = self.heard.get(beat.target_id)
-        if heard is None or not knows(heard.state, beat):
+        heard = self.records.get(beat.target_id)
+        if heard is None or not includes(heard.state, beat):
             return False
         at_ms = now_ms - beat.age_ms
-        if at_ms > heard.at_ms and not heard.state.gone:
-            self.heard[beat.target_id] = heard._replace(
-                at_ms=at_ms, learned_ms=now_ms, direct=False
+        if at_ms > heard.observed_ms and not heard.state.gone:
+            self.records[beat.target_id] = heard._replace(
+                observed_ms=at_ms, updated_ms=now_ms, direct=False
             )
         return True
 
-    def beats(
+    def heartbeats(
         self, now_ms: float, since_ms: float, direct_only: bool = False
     ) -> Iterator[TargetBeat]:
         """Yield a beat of each target that was heard after `since_ms`.
@@ -119,50 +119,52 @@
         direct_only : bool
             Leave out what other instances told: they tell each other themselves.
         """
-        for heard in self.heard.values():
-            reminds = heard.state.gone and now_ms - heard.at_ms < GONE_TOLD_MS
-            if heard.learned_ms <= since_ms and not reminds:
+        for heard in self.records.values():
+            reminds = heard.state.gone and now_ms - heard.observed_ms < GONE_REPEAT_MS
+            if heard.updated_ms <= since_ms and not reminds:
                 continue
             if direct_only and not heard.direct:
                 continue
-            yield beat_of(heard, now_ms)
+            yield heartbeat_of(heard, now_ms)
 
-    def gone(self, target_id: str, now_ms: float) -> TargetState:
+    def mark_gone(self, target_id: str, now_ms: float) -> TargetState:
         """Note that a target leaves for good; return the news of it."""
-        known = self.heard.get(target_id)
+        known = self.records.get(target_id)
         state = known.state if known is not None else TargetState(target_id)
         state = state._replace(gone=True, leaving=True, age_ms=0)
-        self.heard[target_id] = Heard(state, now_ms, now_ms, state.sequence, True)
+        self.records[target_id] = TargetRecord(
+            state, now_ms, now_ms, state.sequence, True
+        )
         return state
 
     def sweep(self, now_ms: float) -> None:
         """Forget targets that were not heard for too long."""
-        for target_id, heard in tuple(self.heard.items()):
-            kept_ms = GONE_KEPT_MS if heard.state.gone else self.lease_ms
-            if now_ms - heard.at_ms > kept_ms:
-                del self.heard[target_id]
+        for target_id, heard in tuple(self.records.items()):
+            kept_ms = GONE_RETENTION_MS if heard.state.gone else self.lease_ms
+            if now_ms - heard.observed_ms > kept_ms:
+                del self.records[target_id]
 
-    def news(
+    def states(
         self, now_ms: float, target_ids: Iterable[str] | None = None
     ) -> Iterator[TargetState]:
         """Yield what is known of some targets, or of all, with its age."""
-        for target_id in self.heard if target_ids is None else target_ids:
-            heard = self.heard.get(target_id)
+        for target_id in self.records if target_ids is None else target_ids:
+            heard = self.records.get(target_id)
             if heard is not None:
-                age_ms = max(0, int(now_ms - heard.at_ms))
+                age_ms = max(0, int(now_ms - heard.observed_ms))
                 yield heard.state._replace(age_ms=age_ms)
 
 
-def beat_of(heard: Heard, now_ms: float) -> TargetBeat:
+def heartbeat_of(record: TargetRecord, now_ms: float) -> TargetBeat:
     """Say that a target was heard, and by which news it is known."""
-    state = heard.state
-    age_ms = max(0, int(now_ms - heard.at_ms))
+    state = record.state
+    age_ms = max(0, int(now_ms - record.observed_ms))
     return TargetBeat(
-        state.target_id, state.started_ms, heard.sequence, state.gone, age_ms
+        state.target_id, state.started_ms, record.change_sequence, state.gone, age_ms
     )
 
 
-def knows(known: TargetState, beat: TargetBeat) -> bool:
+def includes(known: TargetState, beat: TargetBeat) -> bool:
     """Tell whether what is known of a target includes the news behind a beat."""
     if known.started_ms != beat.started_ms:
         return known.started_ms > beat.started_ms
@@ -183,12 +185,12 @@
         return not known.gone
     if state.started_ms != known.started_ms:
         return state.started_ms > known.started_ms
-    if known.gone or not is_same_place(state, known):
+    if known.gone or not is_same_endpoint(state, known):
         return False
     return state.gone or state.sequence > known.sequence
 
 
-def merged(state: TargetState, known: TargetState) -> TargetState:
+def merge(state: TargetState, known: TargetState) -> TargetState:
     """Join newer news of a target with what is known of it."""
     if state.gone and not state.started_ms:
         return known._replace(gone=True, leaving=True, age_ms=state.age_ms)
@@ -197,7 +199,7 @@
     return state._replace(leaving=state.leaving or known.leaving)
 
 
-def is_same_place(state: TargetState, known: TargetState) -> bool:
+def is_same_endpoint(state: TargetState, known: TargetState) -> bool:
     """Tell whether news name the service and address that are known, or none."""
     if not state.address or not known.address:
         return True
--- a/src/wisteriapulley/direct/registry.py
+++ b/src/wisteriapulley/direct/registry.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from wisteriapulley.control.targets import is_newer, knows, merged
+from wisteriapulley.control.targets import includes, is_newer, merge
 from wisteriapulley.policy.circuit_breaker import CircuitBreaker, SendOutcome
 from wisteriapulley.policy.stated_rate import KnownRate
 from wisteriapulley.policy.statements import KnownRest, Statements
@@ -225,7 +225,7 @@
         missed: list[str] = []
         for beat in beats:
             known = self.targets.get(beat.target_id)
-            if known is not None and knows(known.state, beat):
+            if known is not None and includes(known.state, beat):
                 known.heard_s = max(known.heard_s, now_s - beat.age_ms / 1000)
             elif known is not None or not beat.gone:
                 missed.append(beat.target_id)
@@ -237,7 +237,7 @@
         if known is not None:
             if not is_newer(state, known.state):
                 return
-            state = merged(state, known.state)
+            state = merge(state, known.state)
             if state.started_ms == known.state.started_ms:
                 known.take(state, heard_s)
                 return
--- a/src/wisteriapulley/direct/service.py
+++ b/src/wisteriapulley/direct/service.py
@@ -54,10 +54,10 @@
         )
         self.follower.on_table = self.table_changed
         self.follower.on_targets = self.targets_changed
-        self.follower.on_beats = self.targets_heard
-        self.crashes = CrashWatch(self.identity.key, Liveness(), self.follower.tell)
+        self.follower.on_heartbeats = self.targets_heard
+        self.crashes = CrashWatch(self.identity.key, Liveness(), self.follower.publish)
         self.follower.on_suspects = self.crashes.take
-        self.follower.own_news = self.crashes.own_news
+        self.follower.own_suspects = self.crashes.own_news
         self.placing = Placing(settings, self.identity, self.registry, self.follower)
         self.metrics = Metrics(settings.node_id, "entry")
         self.http = HttpServer(self.metrics, self.is_ready)
@@ -89,7 +89,7 @@
 
     def meet_hosts(self, hosts: Iterable[str]) -> None:
         """Follow control instances that new settings name."""
-        self.follower.meet(hosts)
+        self.follower.add_instances(hosts)
 
     def is_ready(self) -> bool:
         """Ready with a routing table that a quorum confirmed once."""
@@ -136,7 +136,7 @@
             await asyncio.sleep(SWEEP_S)
             self.lines_lost.set({}, lines_lost())
             self.crashes.sweep()
-            self.dispatcher.know_entries(self.follower.entries_told())
+            self.dispatcher.know_entries(self.follower.entries_reported())
             self.placing.limited.sweep(loop.time())
             self.quarantined.set({}, len(self.crashes.suspects.quarantined()))
             if self.registry.sweep(loop.time()):
--- a/src/wisteriapulley/emulator/fleet.py
+++ b/src/wisteriapulley/emulator/fleet.py
@@ -20,7 +20,7 @@
 from wisteriapulley.policy.comeback import comeback_s
 from wisteriapulley.policy.places import PlaceRequest, Places, Verdict
 from wisteriapulley.policy.returning import Returning
-from wisteriapulley.rollout.turn import Turn, due_ms
+from wisteriapulley.rollout.switch_order import SwitchRank, switch_due_ms
 
 LOAD_MS = 300.0
 # From a message to its receiver; regions are left out.
@@ -315,8 +315,8 @@
         """Let each engine change in its turn."""
         scenario = self.scenario
         for number in range(scenario.engines):
-            turn = Turn(number, scenario.engines)
-            due = due_ms(turn, scenario.copy_ms, scenario.old_version_ms)
+            turn = SwitchRank(number, scenario.engines)
+            due = switch_due_ms(turn, scenario.copy_ms, scenario.old_version_ms)
             at_ms = scenario.change_s * 1000 + due
             self.later(scenario.change_s * 1000, self.announcer(number, at_ms))
             self.later(at_ms, self.changer(number))
--- a/src/wisteriapulley/platform/engine.py
+++ b/src/wisteriapulley/platform/engine.py
@@ -71,7 +71,7 @@
     def __init__(self, http: HttpClient, address: Address):
         self.http = http
         self.base = f"http://{address}"
-        self.rest = KnownRest()
+        self.cooldown = KnownRest()
 
     async def call(
         self, method: str, path: str, **options: object
@@ -91,7 +91,7 @@
             SOURCE_UNAVAILABLE: the engine does not answer, or rests.
         """
         loop = asyncio.get_running_loop()
-        if self.rest.wait_s(loop.time()):
+        if self.cooldown.wait_s(loop.time()):
             raise unavailable(path, "it asked for rest")
         timeout = aiohttp.ClientTimeout(total=CALL_S)
         try:
@@ -99,7 +99,7 @@
                 method, self.base + path, timeout=timeout, **options
             ) as response:
                 says = parse_statements(response.status, response.headers)
-                self.rest.hear(says.rest, loop.time())
+                self.cooldown.hear(says.rest, loop.time())
                 return response.status, await response.read(), says
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             raise unavailable(path, repr(error)) from error
@@ -149,7 +149,7 @@
             headers={"Content-Type": "application/json"},
         )
         if status == HTTP_ACCEPTED:
-            return OrderOutcome.BEGUN
+            return OrderOutcome.STARTED
         return OrderOutcome.DONE if status == HTTP_OK else OrderOutcome.REFUSED
 
 
--- a/src/wisteriapulley/rollout/engine.py
+++ b/src/wisteriapulley/rollout/engine.py
@@ -1,4 +1,4 @@
-"""What a sidecar asks of the engine beside it, whatever it speaks."""
+"""What a sidecar requires of the engine beside it, independent of its protocol."""
 
 from enum import Enum
 from typing import NamedTuple, Protocol
@@ -12,15 +12,15 @@
     Attributes
     ----------
     versions : dict
-        Version of the weights by model, where all layers are held.
+        Version of the weights by model, for models of which all layers are held.
     busy : bool
         Whether an order is in progress.
     running, waiting : int
-        Requests.
+        Number of requests.
     started_ms : int
-        Unix time of its start; 0 where it does not say.
+        Unix time at which it started; 0 if not reported.
     leaving : bool
-        Whether it is about to end.
+        Whether it is about to stop.
     """
 
     versions: dict[str, int]
@@ -30,11 +30,11 @@
     started_ms: int = 0
     leaving: bool = False
 
-    def after(self, earlier: "EngineReport") -> "EngineReport":
-        """Return this report with what an earlier one of the same start settled.
+    def merged_with(self, earlier: "EngineReport") -> "EngineReport":
+        """Return this report, with `leaving` kept from an earlier one if it applies.
 
-        An engine that starts again holds no weights, whether or not it says when it
-        started.
+        An engine that announced that it leaves stays leaving until it starts again.
+        A restarted engine holds no weights, whether or not it reports when it started.
         """
         same_start = self.started_ms == earlier.started_ms and bool(self.versions)
         leaving = self.leaving or (earlier.leaving and same_start)
@@ -42,35 +42,35 @@
 
 
 class OrderOutcome(Enum):
-    """Answer to an order."""
+    """Response to an order to load."""
 
-    BEGUN = "begun"
+    STARTED = "begun"
     DONE = "done"
     REFUSED = "refused"
 
 
 class EngineClient(Protocol):
-    """The engine; every call raises WeightsError when it does not answer.
+    """Client of the engine; calls raise WeightsError when it does not respond.
 
     Attributes
     ----------
-    rest : KnownRest
-        Time for which it wants no calls; none is made meanwhile.
+    cooldown : KnownRest
+        Cool-down that the engine requested; no calls are made until it has ended.
     """
 
-    rest: KnownRest
+    cooldown: KnownRest
 
     async def report(self) -> EngineReport:
-        """Return its state."""
+        """Return the state of the engine."""
 
     async def staged(self, model: str) -> set[int]:
-        """Return which pieces lie there for a model."""
+        """Return the positions of the staged pieces of a model."""
 
     async def staged_piece(self, model: str, position: int) -> bytes | None:
-        """Return a piece that lies there, or None."""
+        """Return a staged piece, or None."""
 
     async def stage(self, model: str, position: int, data: bytes) -> None:
-        """Put a piece there, in place of any other."""
+        """Stage a piece; replace any other at its position."""
 
     async def load(self, model: str, version: int) -> OrderOutcome:
-        """Order it to load what lies there, after what is running."""
+        """Order the engine to load the staged pieces after its running requests."""
--- a/src/wisteriapulley/rollout/service.py
+++ b/src/wisteriapulley/rollout/service.py
@@ -1,4 +1,4 @@
-"""The sidecar daemon of an engine that entries send to themselves."""
+"""The sidecar daemon of an engine that receives its requests from the entries."""
 
 import asyncio
 import contextlib
@@ -13,32 +13,32 @@
 from wisteriapulley.http_server import HttpServer
 from wisteriapulley.logs import fields, lines_lost
 from wisteriapulley.metrics import Metrics
-from wisteriapulley.rollout.changing import ORDER_REPORT_S, Changing
+from wisteriapulley.rollout.admission import SlotAdmission
 from wisteriapulley.rollout.engine import EngineClient, EngineReport
-from wisteriapulley.rollout.granting import Granting
-from wisteriapulley.rollout.knowledge import Knowledge
+from wisteriapulley.rollout.state import RolloutState
+from wisteriapulley.rollout.updater import LOAD_POLL_INTERVAL_S, WeightsUpdater
 from wisteriapulley.wire import LinkServer, messages
 from wisteriapulley.wire.handshake import Identity
 
 log = logging.getLogger(__name__)
 
-# While an engine is to be brought to other weights, or holds none, it is looked at
-# often; while it serves what is wanted, a crash may be seen later, since entries
-# meet it first. With slower heartbeats this took 22 % off what all processes of 74
-# instances used in 24 s (254 to 197 s, one run each).
-REPORT_S = 0.2
-STEADY_REPORT_S = 0.4
+# The engine is polled often while it holds no weights or while other weights are to
+# be loaded. While it serves the desired version a crash may be detected later, since
+# entries notice it first. Together with slower heartbeats, the longer interval
+# cut the processor time of all processes of 74 instances by 22 %.
+POLL_INTERVAL_S = 0.2
+STEADY_POLL_INTERVAL_S = 0.4
 
 
 class RolloutService(aiomisc.Service):
-    """One sidecar.
+    """Sidecar of one engine.
 
     Parameters
     ----------
     settings : RolloutSettings
-        Checked settings.
+        Validated settings.
     engine : EngineClient
-        The engine beside it.
+        Engine beside this sidecar.
     """
 
     def __init__(self, settings: RolloutSettings, engine: EngineClient):
@@ -51,145 +51,146 @@
             settings,
             settings.control,
             messages.Heartbeat,
-            wants_table=False,
+            follow_routing=False,
         )
-        self.knowledge = Knowledge(settings, self.follower)
+        self.state = RolloutState(settings, self.follower)
         self.follower.on_models = self.models_changed
-        self.follower.on_targets = self.knowledge.targets_changed
-        self.granting = Granting(self.knowledge)
+        self.follower.on_targets = self.state.update_targets
+        self.admission = SlotAdmission(self.state)
         self.changed = asyncio.Event()
-        self.changing = Changing(
-            self.knowledge,
+        self.updater = WeightsUpdater(
+            self.state,
             engine,
-            self.granting,
-            self.look,
-            self.settle,
+            self.admission,
+            self.poll_engine,
+            self.update_admission,
             self.changed,
         )
-        self.looked = False
+        self.polled = False
         self.tasks: list[asyncio.Task] = []
         self.metrics = Metrics(settings.node_id, "sidecar")
-        self.http = HttpServer(self.metrics, lambda: self.granting.places.open)
+        self.http = HttpServer(self.metrics, lambda: self.admission.slots.open)
         self.gauge = self.metrics.gauge("places", "Places by state; weights held.")
 
     async def start(self) -> None:
-        """Listen, and begin to follow, to watch and to grant."""
+        """Listen, follow control instances, watch the engine and grant slots."""
         settings = self.settings
         self.server = LinkServer(
             self.identity,
-            self.granting.handle,
-            self.granting.heartbeat,
+            self.admission.handle,
+            self.admission.heartbeat,
             settings.heartbeat_ms,
             settings.silence_ms,
         )
-        self.granting.server = self.server
-        self.server.on_open = self.granting.link_opened
-        self.server.on_close = self.granting.link_closed
+        self.admission.server = self.server
+        self.server.on_open = self.admission.link_opened
+        self.server.on_close = self.admission.link_closed
         await self.http.start(settings.http_listen)
         await self.server.start(settings.wire_listen)
         self.follower.start()
         loop = asyncio.get_running_loop()
         self.tasks = [
-            loop.create_task(self.watch()),
-            loop.create_task(self.granting.advance_loop()),
+            loop.create_task(self.watch_engine()),
+            loop.create_task(self.admission.advance_loop()),
         ]
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Stop granting, then close all links."""
-        self.granting.places.close()
+        """Close admission, then all links."""
+        self.admission.slots.close()
         for task in self.tasks:
             task.cancel()
-        self.changing.stop()
+        self.updater.stop()
         await self.follower.stop()
         await self.server.stop()
         await self.http.stop()
 
     def meet_hosts(self, hosts: Iterable[str]) -> None:
-        """Follow control instances that new settings name."""
-        self.follower.meet(hosts)
+        """Follow the control instances that changed settings name."""
+        self.follower.add_instances(hosts)
 
     def models_changed(self) -> None:
-        """Take in what a control instance told of models."""
-        if self.knowledge.figures is not None:
-            self.granting.places.engine = self.knowledge.figures
+        """Use the engine parameters and versions that a control instance sent."""
+        if self.state.engine is not None:
+            self.admission.slots.engine = self.state.engine
         self.changed.set()
 
-    async def watch(self) -> None:
-        """Know the engine's state, and bring it to what is wanted."""
+    async def watch_engine(self) -> None:
+        """Poll the engine, and update its admission state and its weights."""
         while True:
-            await self.look()
-            self.settle()
-            await self.changing.adjust()
-            self.changing.plan()
-            self.granting.forget_rates()
-            self.show()
+            await self.poll_engine()
+            self.update_admission()
+            await self.updater.reconcile()
+            self.updater.plan_switch()
+            self.admission.sweep_rates()
+            self.update_gauges()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self.pause_s()):
+                async with asyncio.timeout(self.poll_interval_s()):
                     await self.changed.wait()
             self.changed.clear()
 
-    def pause_s(self) -> float:
-        """Return how long until the engine is looked at again."""
-        if self.changing.ordering:
-            return ORDER_REPORT_S
-        return STEADY_REPORT_S if self.granting.places.open else REPORT_S
+    def poll_interval_s(self) -> float:
+        """Return the delay until the engine is polled again."""
+        if self.updater.loading:
+            return LOAD_POLL_INTERVAL_S
+        return STEADY_POLL_INTERVAL_S if self.admission.slots.open else POLL_INTERVAL_S
 
-    def show(self) -> None:
+    def update_gauges(self) -> None:
         """Set the gauges."""
-        places = self.granting.places
-        self.gauge.set({"state": "held"}, len(places.held))
-        self.gauge.set({"state": "waiting"}, len(places.queue))
-        self.gauge.set({"state": "open"}, int(places.open))
-        self.gauge.set({"state": "version"}, self.knowledge.held_version())
+        slots = self.admission.slots
+        self.gauge.set({"state": "held"}, len(slots.held))
+        self.gauge.set({"state": "waiting"}, len(slots.queue))
+        self.gauge.set({"state": "open"}, int(slots.open))
+        self.gauge.set({"state": "version"}, self.state.held_version())
         self.gauge.set({"state": "log_lines_lost"}, lines_lost())
 
-    async def look(self) -> None:
-        """Ask for the engine's report; none counts as holding nothing.
+    async def poll_engine(self) -> None:
+        """Request the engine's report; no response counts as holding nothing.
 
-        One that asks its sidecar for rest still is what it last said.
+        An engine in a cool-down that it requested is not polled and keeps its last
+        report.
         """
-        known = self.knowledge.report
+        known = self.state.report
         try:
-            report = (await self.engine.report()).after(known)
+            report = (await self.engine.report()).merged_with(known)
         except WisteriapulleyError as error:
-            if self.engine.rest.wait_s(asyncio.get_running_loop().time()):
+            if self.engine.cooldown.wait_s(asyncio.get_running_loop().time()):
                 return
-            if known.versions or not self.looked:
+            if known.versions or not self.polled:
                 log.warning("the engine does not answer: %s", error)
             report = EngineReport({})
         if report.versions != known.versions:
             log.info("engine holds", extra=fields(versions=report.versions))
             if not report.versions:
-                self.changing.staging.known = False
+                self.updater.staging.inspected = False
         if report.started_ms > known.started_ms > 0:
-            log.warning("engine started again", extra=fields(at_ms=report.started_ms))
-            self.granting.engine_started_again()
-            self.changing.staging.known = False
+            log.warning("engine restarted", extra=fields(at_ms=report.started_ms))
+            self.admission.engine_restarted()
+            self.updater.staging.inspected = False
         if report.leaving and not known.leaving:
             log.info("engine says it leaves", extra=fields())
-        self.looked = True
-        self.knowledge.report = report
+        self.polled = True
+        self.state.report = report
 
-    def settle(self) -> None:
-        """Open or close the places by what is known now."""
-        self.granting.ends_in(self.left_ms())
+    def update_admission(self) -> None:
+        """Open or close the slots according to the current state."""
+        self.admission.set_admission_end(self.serving_left_ms())
         may_serve = self.may_serve()
-        self.granting.open(may_serve)
-        if not may_serve and not self.changing.ordering:
-            self.granting.stays_closed()
+        self.admission.set_open(may_serve)
+        if not may_serve and not self.updater.loading:
+            self.admission.cancel_opening()
 
     def may_serve(self) -> bool:
-        """Tell whether requests may begin on what the engine holds."""
-        knowledge = self.knowledge
-        if not knowledge.held_version() or knowledge.figures is None:
+        """Return whether requests may start on the version that the engine holds."""
+        state = self.state
+        if not state.held_version() or state.engine is None:
             return False
-        report = knowledge.report
-        if self.changing.ordering or report.busy or report.leaving:
+        report = state.report
+        if self.updater.loading or report.busy or report.leaving:
             return False
-        left_ms = self.left_ms()
-        return left_ms is None or left_ms > 0
+        serving_left_ms = self.serving_left_ms()
+        return serving_left_ms is None or serving_left_ms > 0
 
-    def left_ms(self) -> float | None:
-        """Return how long requests may begin on what is held; None without an end."""
-        age_ms = self.knowledge.replaced_ms()
+    def serving_left_ms(self) -> float | None:
+        """Return how long requests may start on the held version; None if unlimited."""
+        age_ms = self.state.superseded_for_ms()
         return None if age_ms is None else self.settings.old_version_ms - age_ms
--- a/src/wisteriapulley/rollout/staging.py
+++ b/src/wisteriapulley/rollout/staging.py
@@ -1,7 +1,7 @@
-"""Copies pieces of weights to an engine's staging place, and verifies them there.
+"""Downloads pieces of weights to an engine's staging area and verifies them there.
 
-A piece may turn bad where it lies, also after it was checked. So all are read
-back and checked right before the engine is ordered to load them.
+A staged piece may become corrupted, also after it was verified. So all pieces are
+read back and verified right before the engine is ordered to load them.
 """
 
 import asyncio
@@ -19,128 +19,129 @@
 
 log = logging.getLogger(__name__)
 
-# Bytes asked for at once. On a link of 3.8 Mbit/s they take 17 ms, which is what
-# a live request waits behind them; a whole piece of 32 KiB would take 69 ms.
+# Size of one part of a piece. On a link of 3.8 Mbit/s a part takes 17 ms, which a live
+# request may have to wait; a whole piece of 32 KiB would take 69 ms.
 PART_BYTES = 8192
-# Share of the link that a copy takes while requests are served beside it: 2 MiB
-# take 4.9 s of the 8 s that a version has, and requests keep a tenth of the link.
-LIVE_LINK_SHARE = 0.9
-# A part takes 20 ms; past this time another control instance is asked.
-PART_S = 0.8
-# Between two questions which pieces an instance holds: they come through a region in
-# a steady flow, and one answer tells all of them that came meanwhile.
-HELD_PAUSE_S = 0.03
-MANIFEST_S = 4.0
-RETRY_S = 0.1
-# A copy without a new piece for so long stands still: a piece takes 70 ms on a link
-# of 3.8 Mbit/s, and 140 ms where two share it.
-STILL_S = 0.5
-# Pieces that are copied at the same time: their parts keep a link of 3.8 Mbit/s busy
-# over a round trip of some milliseconds, and a live request waits behind two at most.
-IN_FLIGHT = 2
-# An engine that has not started yet is asked again after so long, and this much of its
-# copy is held in memory meanwhile.
-ENGINE_PAUSE_S = 0.2
-MOST_AHEAD_BYTES = 16 << 20
-# Pieces that are read back at the same time: the engine is on the same instance, and
-# most of the time goes into waiting for its answers.
-READ_AT_ONCE = 8
-# Times that a whole copy is verified and mended before it is begun anew.
-MOST_PASSES = 5
+# Fraction of the link that a download uses while requests are served: 2 MiB take 4.9 s
+# of the 8 s for which a superseded version may serve, and a tenth of the link is left
+# to requests.
+SERVING_LINK_FRACTION = 0.9
+# A part takes 20 ms; after this time another control instance is asked.
+PART_TIMEOUT_S = 0.8
+# Pause between two queries for the pieces that an instance holds: pieces arrive in a
+# region in a steady flow, and one response lists all that arrived meanwhile.
+HELD_QUERY_INTERVAL_S = 0.03
+MANIFEST_TIMEOUT_S = 4.0
+RETRY_DELAY_S = 0.1
+# A download without a new piece for this long is stalled: a piece takes 70 ms on a
+# link of 3.8 Mbit/s, and 140 ms when two downloads share it.
+STALLED_AFTER_S = 0.5
+# Pieces that are downloaded concurrently: their parts keep a link of 3.8 Mbit/s busy
+# over a round trip of some milliseconds, and a live request waits for at most two.
+MAX_PIECES_IN_FLIGHT = 2
+# An engine that has not started yet is asked again after this delay, and at most this
+# much of its download is held in memory meanwhile.
+ENGINE_RETRY_DELAY_S = 0.2
+MAX_PREFETCH_BYTES = 16 << 20
+# Pieces that are read back concurrently: the engine is on the same instance, and most
+# of the time is spent waiting for its responses.
+MAX_CONCURRENT_READS = 8
+# Times that a complete version is verified and repaired before it fails.
+MAX_VERIFY_ROUNDS = 5
 
 
 class Upstream(Protocol):
-    """Where pieces come from."""
+    """Returns the control instances that pieces can be downloaded from."""
 
     def __call__(self) -> list[Link]:
         """Return links to control instances, best first."""
 
 
-class Pace(NamedTuple):
-    """How fast to copy: bytes a second, 0 for no limit."""
+class DownloadRate(NamedTuple):
+    """Rate of a download in bytes per second; 0 means unlimited."""
 
     bytes_per_s: float = 0.0
 
     @classmethod
-    def beside_requests(cls, link_mbps: float) -> "Pace":
-        """Leave room on the link for live requests."""
-        return cls(link_mbps * 1e6 / 8 * LIVE_LINK_SHARE)
+    def while_serving(cls, link_mbps: float) -> "DownloadRate":
+        """Return a rate that leaves bandwidth for live requests."""
+        return cls(link_mbps * 1e6 / 8 * SERVING_LINK_FRACTION)
 
     @classmethod
-    def whole_link(cls, link_mbps: float) -> "Pace":
-        """Take all of the link."""
+    def full_link(cls, link_mbps: float) -> "DownloadRate":
+        """Return the full rate of the link."""
         return cls(link_mbps * 1e6 / 8)
 
-    def takes_ms(self, size: int) -> float:
-        """Return how long so many bytes take at this pace."""
+    def duration_ms(self, size: int) -> float:
+        """Return how long `size` bytes take at this rate."""
         return size / self.bytes_per_s * 1000 if self.bytes_per_s else 0.0
 
     def pause_s(self, size: int, taken_s: float) -> float:
-        """Return how long to wait after a part, so that the rate is kept.
+        """Return the pause after a part that keeps the rate.
 
-        Each of the pieces in flight has its share of the rate.
+        The pieces in flight share the rate equally.
         """
         if not self.bytes_per_s:
             return 0.0
-        return max(0.0, IN_FLIGHT * size / self.bytes_per_s - taken_s)
+        return max(0.0, MAX_PIECES_IN_FLIGHT * size / self.bytes_per_s - taken_s)
 
 
-class LinkPieces:
-    """Pieces from a control instance, a part at a time; see `download.PieceHolder`.
+class ControlPieceHolder:
+    """Pieces held by a control instance, fetched in parts; see `download.PieceHolder`.
 
     Parameters
     ----------
     link : Link
-        To the instance.
-    pace : callable
-        Returns how fast to copy now.
+        Link to the instance.
+    rate : callable
+        Returns the current download rate.
     """
 
-    def __init__(self, link: Link, pace: Callable[[], Pace]):
+    def __init__(self, link: Link, rate: Callable[[], DownloadRate]):
         self.link = link
         self.name = link.peer_id
         self.key = link
-        self.at_once = IN_FLIGHT
-        self.pace = pace
+        self.at_once = MAX_PIECES_IN_FLIGHT
+        self.rate = rate
 
     async def held(self, manifest: PieceManifest, known: int) -> frozenset[int]:
-        """Ask which pieces it holds, and not again at once."""
+        """Return the pieces that the instance holds, after a pause."""
         held = await held_over(self.link, manifest, known)
-        await asyncio.sleep(HELD_PAUSE_S)
+        await asyncio.sleep(HELD_QUERY_INTERVAL_S)
         return held
 
     async def piece(self, model: str, version: int, position: int) -> bytes:
-        """Fetch the parts of a piece, at the pace that live requests leave."""
+        """Fetch the parts of a piece at the current download rate."""
         loop = asyncio.get_running_loop()
         parts: list[bytes] = []
         offset, total = 0, PART_BYTES
         while offset < total:
             began_s = loop.time()
             query = messages.PieceQuery(model, version, position, offset, PART_BYTES)
-            frame = await self.link.request(query, PART_S)
+            frame = await self.link.request(query, PART_TIMEOUT_S)
             total = frame.message.total
             parts.append(frame.body)
             offset += len(frame.body)
             if not frame.body:
                 break
-            pause_s = self.pace().pause_s(len(frame.body), loop.time() - began_s)
+            pause_s = self.rate().pause_s(len(frame.body), loop.time() - began_s)
             await asyncio.sleep(pause_s)
         return b"".join(parts)
 
 
-class Staging:
-    """The pieces that lie at one engine.
+class StagingArea:
+    """The staged pieces of one engine.
 
     Parameters
     ----------
     engine : EngineClient
-        Where they lie.
+        Engine that stores the pieces.
     upstream : Upstream
-        Where they come from.
+        Control instances to download from.
     is_near : callable
-        Tells whether a link stays in the own region.
-    pace : callable
-        Returns how fast to copy now.
+        Returns whether a link stays in this region.
+    rate : callable
+        Returns the current download rate.
     """
 
     def __init__(
@@ -148,121 +149,128 @@
         engine: EngineClient,
         upstream: Upstream,
         is_near: Callable[[Link], bool],
-        pace: Callable[[], Pace],
+        rate: Callable[[], DownloadRate],
     ):
         self.engine = engine
         self.upstream = upstream
         self.is_near = is_near
-        self.pace = pace
+        self.rate = rate
         self.digests: dict[int, bytes] = {}
         self.model = ""
-        # Whether it is known what lies there, and whether it ever was.
-        self.known = False
-        self.answered = False
-        self.done_share = 0.0
-        # The copy in progress.
+        # Whether the staged pieces have been read since the engine last started, and
+        # whether they ever were.
+        self.inspected = False
+        self.engine_answered = False
+        self.done_fraction = 0.0
+        # The download in progress.
         self.download: Download | None = None
 
-    def stands_still(self) -> bool:
-        """Tell whether a copy is in progress and gets no pieces."""
-        return self.download is not None and self.download.stalled_s() > STILL_S
+    def is_stalled(self) -> bool:
+        """Return whether a download is in progress and receives no pieces."""
+        return self.download is not None and self.download.stalled_s() > STALLED_AFTER_S
 
-    async def manifest(self, model: str, version: int) -> PieceManifest:
-        """Ask control instances for a manifest.
+    async def fetch_manifest(self, model: str, version: int) -> PieceManifest:
+        """Request a manifest from the control instances.
 
         Raises
         ------
         WeightsError
-            SOURCE_UNAVAILABLE.
+            SOURCE_UNAVAILABLE: none returned it.
         """
         query = messages.ManifestQuery(model, version)
-        frame = await self.ask(query, MANIFEST_S)
+        frame = await self.request_any(query, MANIFEST_TIMEOUT_S)
         return PieceManifest(*frame.message)
 
-    async def held_share(
+    async def held_fraction(
         self, model: str, version: int, only_looks: bool = False
     ) -> float:
-        """Return how much of a version the nearest control instance holds.
+        """Return the fraction of a version that the nearest control instance holds.
 
-        It fetches what it lacks, unless the question `only_looks`.
+        The instance fetches what it lacks, unless `only_looks` is set.
         """
         query = messages.HeldQuery(model, version, only_looks=only_looks)
         try:
-            frame = await self.ask(query, PART_S)
+            frame = await self.request_any(query, PART_TIMEOUT_S)
         except WisteriapulleyError as error:
-            log.info("not known how much is held: %s", error)
+            log.info("fraction held upstream is unknown: %s", error)
             return 0.0
         held: messages.Held = frame.message
         return held.pieces / held.total if held.total else 0.0
 
-    async def is_held(self, manifest: PieceManifest) -> bool:
-        """Tell whether a control instance holds a whole version already."""
-        share = await self.held_share(manifest.model, manifest.version, only_looks=True)
-        return share == 1
+    async def is_held_upstream(self, manifest: PieceManifest) -> bool:
+        """Return whether a control instance already holds the complete version."""
+        fraction = await self.held_fraction(
+            manifest.model, manifest.version, only_looks=True
+        )
+        return fraction == 1
 
-    async def ask(self, query: tuple, limit_s: float):
-        """Ask one control instance after another."""
+    async def request_any(self, query: tuple, limit_s: float):
+        """Send a request to one control instance after another until one responds."""
         failure: WisteriapulleyError | None = None
         for link in self.upstream():
             try:
                 return await link.request(query, limit_s)
             except WisteriapulleyError as error:
-                log.info("%s gave no weights: %s", link.peer_id, error)
+                log.info(
+                    "%s did not serve the request for weights: %s", link.peer_id, error
+                )
                 failure = error
         raise WeightsError(
             ResultCode.SOURCE_UNAVAILABLE,
-            f"no control instance gave {query}: {failure}",
+            f"no control instance served {query}: {failure}",
         )
 
-    async def look(self, manifest: PieceManifest) -> None:
-        """Learn what lies there, once after a start."""
-        if self.known and self.model == manifest.model:
+    async def inspect(self, manifest: PieceManifest) -> None:
+        """Verify the pieces that are already staged, once after the engine starts."""
+        if self.inspected and self.model == manifest.model:
             return
         self.model = manifest.model
         self.digests = {}
         staged = await self.engine.staged(manifest.model)
         total = len(manifest.digests)
-        await self.check_all(manifest, [p for p in sorted(staged) if p < total])
-        self.known = self.answered = True
+        await self.find_bad_pieces(manifest, [p for p in sorted(staged) if p < total])
+        self.inspected = self.engine_answered = True
 
     async def prepare(self, manifest: PieceManifest) -> None:
-        """Learn what lies there, unless a new engine can't tell yet.
+        """Inspect the staged pieces, unless the engine has not started yet.
 
-        Load: engines are added while the traffic steps up, and each starts a second
-        after its sidecar. Gain: its copy begins meanwhile, where a control instance
-        holds all of it and so draws nothing more from the origin.
+        When engines are added during a traffic increase, each starts a second after
+        its sidecar. The download can begin in that time if a control instance holds
+        the complete version and so needs nothing more from the origin.
 
         Raises
         ------
         WisteriapulleyError
-            The engine does not answer, and nothing is to be fetched ahead.
+            The engine does not respond, and no download can begin without it.
         """
         try:
-            await self.look(manifest)
+            await self.inspect(manifest)
         except WisteriapulleyError as error:
-            if self.answered:
+            if self.engine_answered:
                 raise
-            if not await self.is_held(manifest):
+            if not await self.is_held_upstream(manifest):
                 raise
-            log.info("pieces are fetched ahead of the engine: %s", error)
+            log.info("download starts before the engine responds: %s", error)
 
-    async def check_all(
+    async def find_bad_pieces(
         self, manifest: PieceManifest, positions: Sequence[int]
     ) -> list[int]:
-        """Read pieces back, some at a time; return those that are not as they should.
+        """Read pieces back, several at a time; return those that are not valid.
 
-        Load: a restart of all engines, whose pieces lie beside them. Nobody is served
-        until they are read back.
+        When all engines restart with their pieces staged, no request is served until
+        the pieces are read back.
         """
         bad: list[int] = []
-        for first in range(0, len(positions), READ_AT_ONCE):
-            batch = positions[first : first + READ_AT_ONCE]
-            fits = await asyncio.gather(*(self.check(manifest, p) for p in batch))
+        for first in range(0, len(positions), MAX_CONCURRENT_READS):
+            batch = positions[first : first + MAX_CONCURRENT_READS]
+            fits = await asyncio.gather(
+                *(self.verify_piece(manifest, p) for p in batch)
+            )
             bad += [p for p, is_good in zip(batch, fits, strict=True) if not is_good]
         return bad
 
-    async def check(self, manifest: PieceManifest, position: int) -> bool:
-        """Read a piece back; tell whether it is the manifest's."""
+    async def verify_piece(self, manifest: PieceManifest, position: int) -> bool:
+        """Read a piece back; return whether it matches the manifest."""
         data = await self.engine.staged_piece(manifest.model, position)
         if data is not None and manifest.fits(position, data):
             self.digests[position] = manifest.digests[position]
@@ -271,26 +279,31 @@
         return False
 
     def missing(self, manifest: PieceManifest) -> list[int]:
-        """Return the pieces that still are to be copied."""
-        wanted = enumerate(manifest.digests)
-        return [p for p, digest in wanted if self.digests.get(p) != digest]
+        """Return the positions of pieces that are not staged yet."""
+        required = enumerate(manifest.digests)
+        return [p for p, digest in required if self.digests.get(p) != digest]
 
-    async def copy(self, manifest: PieceManifest) -> None:
-        """Copy what is missing, from whichever instance holds it."""
-        self.done_share = 0.0
+    async def fetch_missing(self, manifest: PieceManifest) -> None:
+        """Download the missing pieces, from whichever instance holds them."""
+        self.done_fraction = 0.0
         await self.prepare(manifest)
-        self.note_done(manifest)
+        self.update_progress(manifest)
         missing = self.missing(manifest)
         if not missing:
             return
-        ahead = max(1, MOST_AHEAD_BYTES // max(1, manifest.chunk_bytes))
+        ahead = max(1, MAX_PREFETCH_BYTES // max(1, manifest.chunk_bytes))
         fetched: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue(ahead)
 
-        async def keep(position: int, data: bytes) -> None:
+        async def enqueue(position: int, data: bytes) -> None:
             await fetched.put((position, data))
 
         self.download = Download(
-            manifest, missing, self.holders, keep, IN_FLIGHT, RETRY_S
+            manifest,
+            missing,
+            self.holders,
+            enqueue,
+            MAX_PIECES_IN_FLIGHT,
+            RETRY_DELAY_S,
         )
         staging = asyncio.get_running_loop().create_task(
             self.stage_all(manifest, fetched)
@@ -303,13 +316,13 @@
             self.download = None
 
     async def stage_all(self, manifest: PieceManifest, fetched: asyncio.Queue) -> None:
-        """Put fetched pieces there, once the engine takes them, until none lacks."""
-        while not self.known:
+        """Stage fetched pieces once the engine accepts them, until none is missing."""
+        while not self.inspected:
             try:
-                await self.look(manifest)
+                await self.inspect(manifest)
             except WisteriapulleyError:
-                # Logged by `prepare`; the pieces wait here meanwhile.
-                await asyncio.sleep(ENGINE_PAUSE_S)
+                # `prepare` has logged the error; fetched pieces stay in the queue.
+                await asyncio.sleep(ENGINE_RETRY_DELAY_S)
         missing = set(self.missing(manifest))
         self.download.keep_only(missing)
         while missing:
@@ -319,52 +332,55 @@
                 missing.remove(position)
 
     async def stage(self, manifest: PieceManifest, position: int, data: bytes) -> None:
-        """Put one piece there, however often that takes."""
+        """Stage one piece; retry until it succeeds."""
         self.digests.pop(position, None)
         while True:
             try:
                 await self.engine.stage(manifest.model, position, data)
                 break
             except WisteriapulleyError as error:
-                log.info("piece not taken: %s", error)
-            await asyncio.sleep(RETRY_S)
+                log.info("engine did not accept a piece: %s", error)
+            await asyncio.sleep(RETRY_DELAY_S)
         self.digests[position] = manifest.digests[position]
-        self.note_done(manifest)
+        self.update_progress(manifest)
 
-    def note_done(self, manifest: PieceManifest) -> None:
-        """Note how much of a copy is there."""
+    def update_progress(self, manifest: PieceManifest) -> None:
+        """Update the fraction of the version that is staged."""
         total = max(1, len(manifest.digests))
-        self.done_share = 1 - len(self.missing(manifest)) / total
+        self.done_fraction = 1 - len(self.missing(manifest)) / total
 
     def holders(self, stalled_s: float) -> list[PieceHolder]:
-        """Return the control instances to copy from: others only while near ones fail.
+        """Return the control instances to download from.
 
-        Bytes between regions are dear, and one copy has crossed each border already.
+        Instances of other regions are used only while those of this region stall:
+        bytes between regions are expensive, and the version has crossed the border
+        of each region once already.
         """
         links = self.upstream()
         near = [link for link in links if self.is_near(link)]
         if near and stalled_s < STALLED_S:
             links = near
-        return [LinkPieces(link, self.pace) for link in links]
+        return [ControlPieceHolder(link, self.rate) for link in links]
 
     async def verify(self, manifest: PieceManifest) -> None:
-        """Read every piece back, and replace those that have turned bad.
+        """Read every piece back, and replace those that have become corrupted.
 
         Raises
         ------
         WeightsError
-            CHUNK_CORRUPTED: pieces turn bad again and again.
+            CHUNK_CORRUPTED: pieces were corrupted again in each round.
         """
-        for _ in range(MOST_PASSES):
-            bad = await self.check_all(manifest, range(len(manifest.digests)))
+        for _ in range(MAX_VERIFY_ROUNDS):
+            bad = await self.find_bad_pieces(manifest, range(len(manifest.digests)))
             if not bad:
                 return
             log.warning(
-                "pieces turned bad", extra=fields(version=manifest.version, bad=bad)
+                "staged pieces corrupted",
+                extra=fields(version=manifest.version, bad=bad),
             )
-            await self.copy(manifest)
+            await self.fetch_missing(manifest)
         raise WeightsError(
             ResultCode.CHUNK_CORRUPTED,
-            f"{manifest.model} version {manifest.version}: pieces turn bad at the"
-            " engine again and again",
+            f"{manifest.model} version {manifest.version}: staged pieces"
+            " were corrupted again in each round of verification",
         )
--- /dev/null
+++ b/src/wisteriapulley/rollout/switch_order.py
@@ -0,0 +1,105 @@
+"""When an engine switches to a newer version of its weights. Pure.
+
+All engines of a service finish downloading a newer version at about the same time,
+and an engine that is ordered to load it accepts no new requests until its running
+ones have ended. Without an order, many engines would be idle at the same time. So
+they switch one after the other, spread over the time between the end of the download
+and the time at which the older version may no longer serve. Engines of one failure
+domain are far apart in this order.
+"""
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+# The last engine switches this long before the older version may no longer serve, so
+# that no request starts on that version after its time.
+SWITCH_MARGIN_MS = 900.0
+# Finishing a download that is this far takes less than half of the time that a
+# superseded version may serve.
+ADVANCED_DOWNLOAD_FRACTION = 0.3
+# Once a control instance holds this fraction of the newer version, its pieces arrive
+# as fast as an engine's link can receive them.
+AVAILABLE_FRACTION = 0.5
+
+
+class SwitchRank(NamedTuple):
+    """Position of an engine in the switch order: `rank` of `count`, from 0."""
+
+    rank: int
+    count: int
+
+    @property
+    def fraction(self) -> float:
+        """Position in the order, from 0 (first) to 1 (last)."""
+        return self.rank / max(1, self.count - 1)
+
+
+def switch_rank(address: str, engines: Iterable[tuple[str, str]]) -> SwitchRank:
+    """Return the position of the engine at `address` in the switch order.
+
+    Parameters
+    ----------
+    address : str
+        Address of the engine.
+    engines : iterable of (str, str)
+        Failure domain and address of each engine of the service.
+    """
+    domains: dict[str, list[str]] = {}
+    for domain, other in engines:
+        domains.setdefault(domain, []).append(other)
+    order = sorted(
+        (position, domain, other)
+        for domain, others in domains.items()
+        for position, other in enumerate(sorted(set(others)))
+    )
+    ordered = [other for _, _, other in order]
+    if address not in ordered:
+        return SwitchRank(0, 1)
+    return SwitchRank(ordered.index(address), len(ordered))
+
+
+def finishes_superseded(
+    rank: SwitchRank, done_fraction: float, older_fraction: float, newer_fraction: float
+) -> bool:
+    """Return whether to finish the download of a version that has been superseded.
+
+    A second version may be accepted while all engines download the first, and the
+    origin may be unreachable at that moment. If all engines started over, none would
+    hold either version when the version that they serve expires. So an advanced
+    download continues until the newer version is available, and the first half of
+    the engines finishes it in any case and serves it meanwhile. But control instances
+    fetch only the newest version: pieces of an older one that they lack never arrive.
+
+    Parameters
+    ----------
+    rank : SwitchRank
+        Position of the engine.
+    done_fraction : float
+        Fraction of the download that is done.
+    older_fraction : float
+        Fraction of the superseded version that a control instance holds.
+    newer_fraction : float
+        Fraction of the newer version that a control instance holds.
+    """
+    if older_fraction < 1:
+        return False
+    if done_fraction < ADVANCED_DOWNLOAD_FRACTION:
+        return newer_fraction < AVAILABLE_FRACTION and done_fraction > 0
+    return rank.fraction < 0.5 or newer_fraction < AVAILABLE_FRACTION
+
+
+def switch_due_ms(rank: SwitchRank, download_ms: float, old_version_ms: float) -> float:
+    """Return when to switch, in milliseconds after the version was accepted.
+
+    Parameters
+    ----------
+    rank : SwitchRank
+        Position of the engine.
+    download_ms : float
+        Duration of a download.
+    old_version_ms : float
+        How long the superseded version may serve.
+    """
+    last_ms = old_version_ms - SWITCH_MARGIN_MS
+    first_ms = min(download_ms, last_ms)
+    return first_ms + (last_ms - first_ms) * rank.fraction
--- /dev/null
+++ b/src/wisteriapulley/rollout/updater.py
@@ -0,0 +1,279 @@
+"""Updates an engine's weights: download, wait for its rank, verify, load."""
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple
+
+from wisteriapulley.errors import ResultCode, WisteriapulleyError
+from wisteriapulley.logs import fields
+from wisteriapulley.rollout.admission import SlotAdmission
+from wisteriapulley.rollout.engine import EngineClient, OrderOutcome
+from wisteriapulley.rollout.staging import DownloadRate, StagingArea
+from wisteriapulley.rollout.state import RolloutState
+from wisteriapulley.rollout.switch_order import finishes_superseded, switch_due_ms
+from wisteriapulley.weights.pieces import PieceManifest
+
+log = logging.getLogger(__name__)
+
+# Poll often while an order is in progress, to open the slots as soon as it is done.
+LOAD_POLL_INTERVAL_S = 0.05
+RETRY_DELAY_S = 0.3
+# A load that has not completed by then is ordered again.
+LOAD_TIMEOUT_S = 12.0
+# The first engines of the switch order, which download at the full rate of their link.
+FULL_RATE_FRACTION = 0.3
+# Estimate before the first load: an idle engine loads in 0.3 s and is polled every
+# 0.05 s.
+INITIAL_LOAD_MS = 350.0
+LOAD_TIME_GAIN = 0.5
+# No request waits longer than this for its first event: the longest objective.
+MAX_OPENING_WAIT_MS = 500.0
+
+
+class Goal(NamedTuple):
+    """Weights that the engine should hold; version 0 is the newest at the origin."""
+
+    model: str
+    version: int
+
+
+class WeightsUpdater:
+    """Updates the weights of one engine.
+
+    Parameters
+    ----------
+    state : RolloutState
+        Held and desired version.
+    engine : EngineClient
+        Engine that receives the orders.
+    admission : SlotAdmission
+        Slots of the engine.
+    poll_engine : callable
+        Requests the engine's report.
+    update_admission : callable
+        Opens or closes the slots according to the current state.
+    changed : asyncio.Event
+        Set when the state has changed and must be evaluated again.
+
+    Attributes
+    ----------
+    loading : bool
+        Whether an order to load is in progress.
+    manifest : PieceManifest or None
+        What is being downloaded or loaded.
+    load_ms : float
+        Estimated load time of an idle engine.
+    """
+
+    def __init__(
+        self,
+        state: RolloutState,
+        engine: EngineClient,
+        admission: SlotAdmission,
+        poll_engine: Callable[[], Awaitable[None]],
+        update_admission: Callable[[], None],
+        changed: asyncio.Event,
+    ):
+        self.state = state
+        self.settings = state.settings
+        self.engine = engine
+        self.admission = admission
+        self.poll_engine = poll_engine
+        self.update_admission = update_admission
+        self.changed = changed
+        self.staging = StagingArea(
+            engine, state.upstream, state.is_near, self.download_rate
+        )
+        self.loading = False
+        self.manifest: PieceManifest | None = None
+        self.goal: Goal | None = None
+        self.update_task: asyncio.Task | None = None
+        self.load_ms = INITIAL_LOAD_MS
+
+    def stop(self) -> None:
+        """Cancel the update in progress."""
+        if self.update_task is not None:
+            self.update_task.cancel()
+
+    def download_rate(self) -> DownloadRate:
+        """Return the download rate; leave bandwidth for requests while serving.
+
+        The first engines to switch have few requests left when their download ends,
+        and they should be back as early as possible. An engine whose slots are closed
+        serves no requests that need bandwidth.
+        """
+        link_mbps = self.settings.link_mbps
+        first = self.state.switch_rank().fraction < FULL_RATE_FRACTION
+        if first or not self.admission.slots.open or not link_mbps:
+            return DownloadRate()
+        return DownloadRate.while_serving(link_mbps)
+
+    async def reconcile(self) -> None:
+        """Start an update to the desired version unless it is in progress."""
+        state = self.state
+        engine = state.engine
+        if engine is None or state.report.leaving:
+            return
+        desired, held = state.desired_version(), state.held_version()
+        if held and held >= desired:
+            self.goal = None
+            return
+        goal = Goal(engine.model, desired)
+        running = self.update_task is not None and not self.update_task.done()
+        if running and goal == self.goal:
+            return
+        if running and (self.loading or await self.finishes_current_download(goal)):
+            return
+        if running:
+            self.update_task.cancel()
+        self.goal = goal
+        loop = asyncio.get_running_loop()
+        self.update_task = loop.create_task(self.run_update(goal))
+
+    async def finishes_current_download(self, newer: Goal) -> bool:
+        """Return whether to finish the current download before a newer version."""
+        if self.manifest is None:
+            return False
+        older_fraction, newer_fraction = await asyncio.gather(
+            self.staging.held_fraction(newer.model, self.manifest.version),
+            self.staging.held_fraction(newer.model, newer.version),
+        )
+        rank, done_fraction = self.state.switch_rank(), self.staging.done_fraction
+        return finishes_superseded(rank, done_fraction, older_fraction, newer_fraction)
+
+    async def run_update(self, goal: Goal) -> None:
+        """Update the engine to a version; retry until it succeeds."""
+        while True:
+            try:
+                await self.update_once(goal)
+                return
+            except WisteriapulleyError as error:
+                log.warning(
+                    "weights not in place: %s",
+                    error,
+                    extra=fields(code=error.code, version=goal.version),
+                )
+                # A failed download must not delay a newer version.
+                self.staging.done_fraction = 0.0
+            finally:
+                self.loading = False
+                self.admission.slots.closes_ms = None
+                self.manifest = None
+                self.update_admission()
+                self.changed.set()
+            await asyncio.sleep(RETRY_DELAY_S)
+
+    async def update_once(self, goal: Goal) -> None:
+        """Download, wait for the engine's rank, verify and load."""
+        manifest = await self.staging.fetch_manifest(goal.model, goal.version)
+        log.info("download started", extra=fields(version=manifest.version))
+        self.manifest = manifest
+        await self.staging.prepare(manifest)
+        self.expect_opening(manifest)
+        await self.staging.fetch_missing(manifest)
+        log.info("download complete", extra=fields(version=manifest.version))
+        await self.wait_for_switch(manifest)
+        await self.staging.verify(manifest)
+        await self.load(goal.model, manifest.version)
+
+    def expect_opening(self, manifest: PieceManifest) -> None:
+        """Queue requests for an engine that started without weights.
+
+        After an outage of all instances the engines still have their staged pieces,
+        and only the load is missing.
+        """
+        if self.state.held_version() or self.admission.slots.held:
+            return
+        missing = len(self.staging.missing(manifest)) * manifest.chunk_bytes
+        pause_ms = self.download_ms(missing) + self.load_ms
+        if pause_ms < MAX_OPENING_WAIT_MS:
+            self.admission.expect_opening(pause_ms)
+
+    # -- switch time -----------------------------------------------------
+
+    def switch_in_ms(self, manifest: PieceManifest) -> float:
+        """Return the time until this engine should switch; 0 or less means now."""
+        age_ms = self.state.superseded_for_ms()
+        if age_ms is None or not self.state.held_version():
+            return 0.0
+        download_ms = self.download_ms(total_bytes(manifest))
+        due = switch_due_ms(
+            self.state.switch_rank(), download_ms, self.settings.old_version_ms
+        )
+        return due - age_ms
+
+    def download_ms(self, size: float) -> float:
+        """Return the time to download `size` bytes at the full rate of the link."""
+        return DownloadRate.full_link(self.settings.link_mbps).duration_ms(size)
+
+    def plan_switch(self) -> None:
+        """Set the time at which the slots are expected to close for the switch.
+
+        It is set again while the download goes on: a delayed download must not keep
+        requests away from an engine that still serves for seconds. When a download
+        is stalled its source is unreachable, and its end can't be estimated.
+        """
+        manifest = self.manifest
+        if manifest is None or self.loading or not self.state.held_version():
+            return
+        if self.staging.is_stalled():
+            self.admission.slots.closes_ms = None
+            return
+        missing = total_bytes(manifest) * (1 - self.staging.done_fraction)
+        pause_ms = max(self.download_ms(missing), self.switch_in_ms(manifest), 0.0)
+        self.admission.slots.closes_ms = self.admission.now_ms() + pause_ms
+
+    async def wait_for_switch(self, manifest: PieceManifest) -> None:
+        """Wait until this engine may be taken out of service."""
+        pause_ms = self.switch_in_ms(manifest)
+        if pause_ms > 0:
+            await asyncio.sleep(pause_ms / 1000)
+
+    # -- load order ------------------------------------------------------
+
+    async def load(self, model: str, version: int) -> None:
+        """Order the engine to load, and wait until it reports the version."""
+        self.loading = True
+        self.update_admission()
+        loop = asyncio.get_running_loop()
+        began_s = loop.time()
+        idle = not self.admission.slots.held
+        ordered = False
+        while loop.time() < began_s + LOAD_TIMEOUT_S:
+            if not ordered:
+                ordered = await self.order_load(model, version, idle)
+            await asyncio.sleep(LOAD_POLL_INTERVAL_S)
+            await self.poll_engine()
+            report = self.state.report
+            if report.versions.get(model) == version and not report.busy:
+                self.record_load_time(idle, (loop.time() - began_s) * 1000)
+                return
+            if ordered and not report.busy and not report.versions:
+                # The engine crashed and lost the order.
+                ordered = False
+        raise WisteriapulleyError(
+            ResultCode.ENGINE_LOAD_FAILED,
+            f"expected version {version} of {model} within {LOAD_TIMEOUT_S} s, got"
+            f" {self.state.report.versions}",
+        )
+
+    async def order_load(self, model: str, version: int, idle: bool) -> bool:
+        """Order the load; return whether the engine accepted the order."""
+        outcome = await self.engine.load(model, version)
+        log.info("load ordered", extra=fields(version=version, outcome=outcome.value))
+        accepted = outcome is not OrderOutcome.REFUSED
+        if accepted and idle:
+            # No running request delays the load.
+            self.admission.expect_opening(self.load_ms)
+        return accepted
+
+    def record_load_time(self, idle: bool, took_ms: float) -> None:
+        """Update the estimated load time of an idle engine."""
+        if idle:
+            self.load_ms += LOAD_TIME_GAIN * (took_ms - self.load_ms)
+
+
+def total_bytes(manifest: PieceManifest) -> int:
+    """Return the total size of all pieces."""
+    return manifest.chunk_bytes * len(manifest.digests)
--- a/tests/test_control_isolated.py
+++ b/tests/test_control_isolated.py
@@ -73,7 +73,7 @@
             Trio.now_ms += STEP_MS
             for driver in self.drivers.values():
                 driver.replica.tick(Trio.now_ms)
-                await driver.take_effects()
+                await driver.process_ready()
             arriving, self.queue = self.queue, []
             for path, message in arriving:
                 if path.open_link is not None:
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -116,8 +116,8 @@
 
     @pytest.fixture
     def alone(self, alone, monkeypatch):
-        monkeypatch.setattr(driver_module, "ROOM_MS", 20.0)
-        monkeypatch.setattr(driver_module, "PROPOSE_S", 0.3)
+        monkeypatch.setattr(driver_module, "DISK_RETRY_MS", 20.0)
+        monkeypatch.setattr(driver_module, "PROPOSE_TIMEOUT_S", 0.3)
         alone.files = files = FullDisk()
         monkeypatch.setattr(
             driver_module.Storage,
@@ -243,7 +243,7 @@
     def test_failing_disk_stops_it_and_nothing_is_acknowledged(
         self, alone, monkeypatch, number, code
     ):
-        monkeypatch.setattr(driver_module, "PROPOSE_S", 0.2)
+        monkeypatch.setattr(driver_module, "PROPOSE_TIMEOUT_S", 0.2)
 
         async def run():
             driver = await alone.start()
@@ -262,20 +262,20 @@
         self, alone, monkeypatch
     ):
         """An instance that is killed after a tenth of a second has its note."""
-        monkeypatch.setattr(driver_module, "IDLE_S", 30.0)
+        monkeypatch.setattr(driver_module, "MAX_TICK_S", 30.0)
         monkeypatch.setattr(driver_module, "steady_ms", lambda: 1000.0)
 
         async def run():
             driver = alone.open()
             driver.replica.election_at_ms = 9000.0
-            assert driver.pause_s() == 8.0
+            assert driver.tick_delay_s() == 8.0
             driver.replica.applied_index = driver.storage.committed + 1
-            driver.next_note_ms = 1000.0 + driver_module.NOTE_EVERY_MS
-            due_s = driver.pause_s()
+            driver.next_commit_save_ms = 1000.0 + driver_module.COMMIT_SAVE_INTERVAL_MS
+            due_s = driver.tick_delay_s()
             await driver.stop()
             return due_s
 
-        assert asyncio.run(run()) == driver_module.NOTE_EVERY_MS / 1000
+        assert asyncio.run(run()) == driver_module.COMMIT_SAVE_INTERVAL_MS / 1000
 
     def test_record_of_a_stopped_instance_is_known_at_its_start(self, alone):
         async def run():
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -88,9 +88,9 @@
 
 @pytest.fixture(autouse=True)
 def short_times(monkeypatch):
-    monkeypatch.setattr(following, "CHOOSE_S", 0.02)
-    monkeypatch.setattr(following, "FIRST_ANSWER_S", 0.1)
-    monkeypatch.setattr(following, "GIVE_UP_S", 0.3)
+    monkeypatch.setattr(following, "CHOOSE_INTERVAL_S", 0.02)
+    monkeypatch.setattr(following, "FIRST_RESPONSE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(following, "UNRESPONSIVE_AFTER_S", 0.3)
 
 
 NEAR = {"127.0.0.4", "127.0.0.5"}
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -52,7 +52,7 @@
     def test_sidecar_of_one_that_leaves_grants_nothing(self, tmp_path):
         async def scenario(whole):
             whole.engine.leaving = True
-            places = whole.sidecar.granting.places
+            places = whole.sidecar.admission.slots
 
             async def closed():
                 return not places.open
@@ -88,7 +88,7 @@
 
         async def scenario(whole):
             whole.engine.leaving = True
-            places = whole.sidecar.granting.places
+            places = whole.sidecar.admission.slots
 
             async def closed():
                 return not places.open
@@ -111,15 +111,15 @@
 
     def test_leaving_holds_for_the_start_that_said_so(self):
         leaving = self.HELD._replace(leaving=True)
-        assert self.HELD.after(leaving).leaving
-        assert leaving.after(self.HELD).leaving
+        assert self.HELD.merged_with(leaving).leaving
+        assert leaving.merged_with(self.HELD).leaving
 
     def test_engine_without_weights_has_started_again(self):
         """It may be back before a report is missed, and need not say when it began."""
         leaving = self.HELD._replace(leaving=True)
-        started = EngineReport({}).after(leaving)
+        started = EngineReport({}).merged_with(leaving)
         assert not started.leaving
-        assert not self.HELD.after(started).leaving
+        assert not self.HELD.merged_with(started).leaving
 
 
 class TestTarget:
--- a/tests/test_nearest.py
+++ b/tests/test_nearest.py
@@ -5,10 +5,10 @@
 import pytest
 
 from wisteriapulley.control.nearest import (
-    FOLLOWED,
-    TRIED_MOST,
+    FOLLOWED_INSTANCES,
+    MAX_UNANSWERED,
     by_nearness,
-    to_follow,
+    instances_to_follow,
 )
 from wisteriapulley.policy.subset import Member
 from wisteriapulley.regions import Regions
@@ -42,15 +42,18 @@
     HOSTS = [f"10.0.0.{n}" for n in range(20)]
 
     def test_two_that_are_heard(self):
-        assert to_follow(self.HOSTS, lambda host: True) == self.HOSTS[:FOLLOWED]
+        assert (
+            instances_to_follow(self.HOSTS, lambda host: True)
+            == self.HOSTS[:FOLLOWED_INSTANCES]
+        )
 
     @pytest.mark.parametrize("silent", range(4))
     def test_each_silent_one_is_passed_over_and_still_tried(self, silent):
         away = set(self.HOSTS[:silent])
-        chosen = to_follow(self.HOSTS, lambda host: host not in away)
-        assert chosen == self.HOSTS[: silent + FOLLOWED]
+        chosen = instances_to_follow(self.HOSTS, lambda host: host not in away)
+        assert chosen == self.HOSTS[: silent + FOLLOWED_INSTANCES]
 
     def test_loss_of_all_is_no_storm(self):
         """All followers at once would else open links to all instances."""
-        chosen = to_follow(self.HOSTS, lambda host: False)
-        assert len(chosen) == FOLLOWED + TRIED_MOST
+        chosen = instances_to_follow(self.HOSTS, lambda host: False)
+        assert len(chosen) == FOLLOWED_INSTANCES + MAX_UNANSWERED
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -11,7 +11,11 @@
 from wisteriapulley.control.pieces import PieceServer
 from wisteriapulley.errors import ResultCode, WeightsError
 from wisteriapulley.rollout import staging as staging_module
-from wisteriapulley.rollout.staging import READ_AT_ONCE, Pace, Staging
+from wisteriapulley.rollout.staging import (
+    MAX_CONCURRENT_READS,
+    DownloadRate,
+    StagingArea,
+)
 from wisteriapulley.weights.have import pack_bitmap
 from wisteriapulley.weights.pieces import PieceManifest
 from wisteriapulley.weights.relay import Relay
@@ -175,18 +179,18 @@
         digests = tuple(hashlib.sha256(piece).digest() for piece in pieces)
         manifest = PieceManifest("m", 1, 1, 4, digests)
         link = HoldingLink(pieces if held else [])
-        staging = Staging(engine, lambda: [link], lambda link: True, Pace)
-        staging.answered = answered
+        staging = StagingArea(engine, lambda: [link], lambda link: True, DownloadRate)
+        staging.engine_answered = answered
 
         async def run():
             async with asyncio.timeout(5):
-                await staging.copy(manifest)
+                await staging.fetch_missing(manifest)
 
         try:
             asyncio.run(run())
         finally:
             asked = sorted(link.asked)
-        assert not staging.missing(manifest) and staging.done_share == 1.0
+        assert not staging.missing(manifest) and staging.done_fraction == 1.0
         return asked
 
     def test_pieces_wait_for_an_engine_that_is_not_up_yet(self):
@@ -196,8 +200,8 @@
 
     def test_only_so_much_waits_in_memory(self, monkeypatch):
         """Weights may be far larger than what an instance has to spare."""
-        monkeypatch.setattr(staging_module, "MOST_AHEAD_BYTES", 3)
-        monkeypatch.setattr(staging_module, "ENGINE_PAUSE_S", 0.0)
+        monkeypatch.setattr(staging_module, "MAX_PREFETCH_BYTES", 3)
+        monkeypatch.setattr(staging_module, "ENGINE_RETRY_DELAY_S", 0.0)
         engine = LateEngine([None] * 8, answers_from=4)
         assert self.copy(engine, held=True) == list(range(8))
         assert sorted(engine.taken) == list(range(8))
@@ -231,11 +235,11 @@
         manifest = PieceManifest("m", 1, 1, 4, digests)
         pieces[7] = pieces[49] = b"spoilt"
         engine = FakeEngine(pieces)
-        staging = Staging(engine, list, lambda link: True, Pace)
-        bad = asyncio.run(staging.check_all(manifest, range(50)))
+        staging = StagingArea(engine, list, lambda link: True, DownloadRate)
+        bad = asyncio.run(staging.find_bad_pieces(manifest, range(50)))
         assert bad == [7, 49]
         assert staging.missing(manifest) == bad
-        assert 1 < engine.most_reading <= READ_AT_ONCE
+        assert 1 < engine.most_reading <= MAX_CONCURRENT_READS
 
     def test_copy_that_lacks_nothing_asks_nobody(self):
         """What asks which pieces are held makes the instances draw them all."""
@@ -248,11 +252,13 @@
             asked.append(True)
             return []
 
-        staging = Staging(FakeEngine(pieces), upstream, lambda link: True, Pace)
+        staging = StagingArea(
+            FakeEngine(pieces), upstream, lambda link: True, DownloadRate
+        )
 
         async def run():
             async with asyncio.timeout(5):
-                await staging.copy(manifest)
+                await staging.fetch_missing(manifest)
 
         asyncio.run(run())
-        assert not asked and staging.done_share == 1.0
+        assert not asked and staging.done_fraction == 1.0
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -8,14 +8,14 @@
 import pytest
 
 from tests.fakes.links import WrittenLink
-from tests.test_granting import Asker, granting_of, reserve
 from tests.test_places import ENGINE, open_places, wish
-from wisteriapulley.control.rate_holder import RateHolder
+from tests.test_slot_admission import Asker, granting_of, reserve
+from wisteriapulley.control.rate_owner import RateOwner
 from wisteriapulley.direct.limited import LimitedTargets
 from wisteriapulley.direct.registry import Target
 from wisteriapulley.errors import ResultCode, WireError
 from wisteriapulley.policy.stated_rate import BURST_S, KEPT_S, RateLimits
-from wisteriapulley.rollout.granting import PlacesState
+from wisteriapulley.rollout.admission import PlacesState
 from wisteriapulley.wire import Frame, codec, messages
 from wisteriapulley.wire.messages import Passage, PassageQuery, TargetRate, TargetState
 
@@ -169,10 +169,10 @@
                 verdict = link.taken[-1]
                 if verdict.granted:
                     granted.append(now.ms / 1000)
-                    granting.places.release(f"r{number}", now.ms)
+                    granting.slots.release(f"r{number}", now.ms)
                 else:
                     assert verdict.retry_ms > 0
-            granting.passes_at.cancel()
+            granting.limit_timer.cancel()
 
         asyncio.run(run())
         assert most_in_window(granted) <= allowed(1.5)
@@ -216,7 +216,7 @@
         """Return instances that all reach each other."""
         holders = {}
         for own in names:
-            holders[own] = RateHolder(own, lambda own=own: links[own])
+            holders[own] = RateOwner(own, lambda own=own: links[own])
 
         def link_to(name):
             async def decide(message):
@@ -272,7 +272,7 @@
         passed = []
 
         async def scenario(now):
-            apart = [RateHolder(name, dict) for name in "ab"]
+            apart = [RateOwner(name, dict) for name in "ab"]
             for _ in range(600):
                 now.s += 0.02
                 for holder in apart:
@@ -285,7 +285,7 @@
 
     def test_question_without_a_rate_passes(self):
         async def scenario(now):
-            holder = RateHolder("a", dict)
+            holder = RateOwner("a", dict)
             for _ in range(20):
                 answer = await holder.answer(PassageQuery(ONE, 0.0, 0), True)
                 assert answer == Passage(True, 0, False)
@@ -294,7 +294,7 @@
 
     def test_holder_that_is_away_lets_nothing_pass(self):
         async def scenario(now):
-            holder = RateHolder("a", lambda: {"b": Holder(), "c": Holder()})
+            holder = RateOwner("a", lambda: {"b": Holder(), "c": Holder()})
             answers = [
                 await holder.answer(PassageQuery(f"i-{n}/0", 1.0, 0), from_entry=True)
                 for n in range(20)
@@ -311,10 +311,10 @@
             now.s += 1.0
             news = TargetRate(ONE, 0.0, 0)
             for own, holder in holders.items():
-                holder.hear(news, from_entry=True)
+                holder.receive_rate(news, from_entry=True)
                 for name, link in links[own].items():
                     for message in link.taken:
-                        holders[name].hear(message, from_entry=False)
+                        holders[name].receive_rate(message, from_entry=False)
             now.s += 0.1
             late = PassageQuery(ONE, 1.0, 1100)
             answer = await holders["b"].answer(late, from_entry=True)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,12 +7,12 @@
 import pytest
 
 from wisteriapulley.errors import ResultCode, WeightsError
-from wisteriapulley.rollout.turn import (
-    LATE_MARGIN_MS,
-    Turn,
-    due_ms,
-    finishes_older,
-    turn_of,
+from wisteriapulley.rollout.switch_order import (
+    SWITCH_MARGIN_MS,
+    SwitchRank,
+    finishes_superseded,
+    switch_due_ms,
+    switch_rank,
 )
 from wisteriapulley.weights import relay as relay_module
 from wisteriapulley.weights.download import Download
@@ -60,39 +60,41 @@
 
     def test_neighbours_are_far_apart(self):
         engines = self.engines([(0, 3), (1, 3), (2, 3)])
-        ranks = sorted(turn_of(a, engines).rank for d, a in engines if d == "d0")
+        ranks = sorted(switch_rank(a, engines).rank for d, a in engines if d == "d0")
         assert ranks == [0, 3, 6]
-        assert sorted(turn_of(a, engines).rank for _, a in engines) == list(range(9))
+        assert sorted(switch_rank(a, engines).rank for _, a in engines) == list(
+            range(9)
+        )
 
     def test_unknown_engine_does_not_wait_for_others(self):
-        assert turn_of("x", self.engines([(0, 3)])) == Turn(0, 1)
+        assert switch_rank("x", self.engines([(0, 3)])) == SwitchRank(0, 1)
 
     def test_changes_are_spread_until_the_old_version_ends(self):
-        due = [due_ms(Turn(rank, 5), 4900, 8000) for rank in range(5)]
+        due = [switch_due_ms(SwitchRank(rank, 5), 4900, 8000) for rank in range(5)]
         assert due[0] == 4900
-        assert due[-1] == 8000 - LATE_MARGIN_MS
+        assert due[-1] == 8000 - SWITCH_MARGIN_MS
         assert due == sorted(due) and len(set(due)) == 5
 
     def test_copy_that_takes_longer_than_the_old_version(self):
-        assert due_ms(Turn(0, 5), 60_000, 8000) == 8000 - LATE_MARGIN_MS
+        assert switch_due_ms(SwitchRank(0, 5), 60_000, 8000) == 8000 - SWITCH_MARGIN_MS
 
     def test_only_the_first_half_finishes_an_overtaken_copy(self):
-        assert finishes_older(Turn(1, 10), 0.9, 1.0, 1.0)
-        assert not finishes_older(Turn(1, 10), 0.1, 1.0, 1.0)
-        assert not finishes_older(Turn(9, 10), 0.9, 1.0, 1.0)
+        assert finishes_superseded(SwitchRank(1, 10), 0.9, 1.0, 1.0)
+        assert not finishes_superseded(SwitchRank(1, 10), 0.1, 1.0, 1.0)
+        assert not finishes_superseded(SwitchRank(9, 10), 0.9, 1.0, 1.0)
 
     def test_copy_goes_on_while_the_newer_version_can_not_be_had(self):
         # Load: a newer version is named and the origin dies. Whoever began anew
         # would hold nothing when the time of what it serves ends.
-        assert finishes_older(Turn(9, 10), 0.9, 1.0, 0.1)
-        assert finishes_older(Turn(9, 10), 0.1, 1.0, 0.1)
-        assert not finishes_older(Turn(9, 10), 0.0, 1.0, 0.0)
+        assert finishes_superseded(SwitchRank(9, 10), 0.9, 1.0, 0.1)
+        assert finishes_superseded(SwitchRank(9, 10), 0.1, 1.0, 0.1)
+        assert not finishes_superseded(SwitchRank(9, 10), 0.0, 1.0, 0.0)
 
     def test_copy_whose_rest_nobody_fetches_any_more_is_given_up(self):
         # Load: the origin dies in the middle of the first of two versions. Whoever
         # waited for its rest would begin the second one only when that is whole.
         for rank in (0, 9):
-            assert not finishes_older(Turn(rank, 10), 0.88, 0.88, 0.1)
+            assert not finishes_superseded(SwitchRank(rank, 10), 0.88, 0.88, 0.1)
 
 
 class SpoiltSource:
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -4,7 +4,7 @@
 
 from tests.fakes.plain import PlainTarget
 from tests.plain_fleet import ENTRIES, Fleet, play
-from wisteriapulley.control.nearest import FOLLOWED, entries_in_fleet
+from wisteriapulley.control.nearest import FOLLOWED_INSTANCES, entries_in_fleet
 from wisteriapulley.policy.shared_budget import SharedRetryBudget
 
 RATIO, SLACK, WINDOW_S = 0.2, 108.0, 10.0
@@ -41,7 +41,7 @@
 
 class TestEntriesInFleet:
     def test_each_entry_follows_some_instances(self):
-        assert FOLLOWED == 2
+        assert FOLLOWED_INSTANCES == 2
         assert entries_in_fleet([7, 7, 0]) == 7
         assert entries_in_fleet([40, 41, 39]) == 60
 
--- a/tests/test_granting.py
+++ b/tests/test_slot_admission.py
@@ -4,7 +4,7 @@
 import types
 
 from tests.fakes.links import WrittenLink
-from wisteriapulley.rollout.granting import Granting
+from wisteriapulley.rollout.admission import SlotAdmission
 from wisteriapulley.routing import Engine
 from wisteriapulley.wire import Frame, messages
 
@@ -30,10 +30,10 @@
     knowledge = types.SimpleNamespace(
         held_version=lambda: 1, is_near=lambda link: False
     )
-    granting = Granting(knowledge)
+    granting = SlotAdmission(knowledge)
     granting.server = types.SimpleNamespace(links=())
-    granting.places.engine = engine
-    granting.places.open = True
+    granting.slots.engine = engine
+    granting.slots.open = True
     return granting
 
 
@@ -56,9 +56,9 @@
                 asyncio.create_task(reserve(granting, link, number))
                 for number in range(40)
             ]
-            while not granting.places.queue:
+            while not granting.slots.queue:
                 await asyncio.sleep(0)
-            waiting = len(granting.places.queue)
+            waiting = len(granting.slots.queue)
             async with asyncio.timeout(PATIENCE_S):
                 await asyncio.gather(*asking)
             answers = [m for m in link.taken if isinstance(m, messages.Reserved)]
--- a/tests/test_target_feed.py
+++ b/tests/test_target_feed.py
@@ -166,26 +166,28 @@
 class TestBeats:
     def test_beat_of_another_instance_keeps_a_target(self):
         table = TargetTable(6000)
-        table.take(state(1), 0.0)
-        assert table.beat(messages.TargetBeat("i-1", 0, 1, False, 100), 5000.0)
+        table.update(state(1), 0.0)
+        assert table.record_heartbeat(
+            messages.TargetBeat("i-1", 0, 1, False, 100), 5000.0
+        )
         table.sweep(10_000.0)
-        assert "i-1" in table.heard
+        assert "i-1" in table.records
         table.sweep(10_901.0)
-        assert not table.heard
+        assert not table.records
 
     def test_gone_target_is_not_brought_back(self):
         table = TargetTable(6000)
-        table.take(state(1), 0.0)
-        table.gone("i-1", 1.0)
-        assert table.beat(messages.TargetBeat("i-1", 0, 1, False, 0), 2.0)
-        assert table.heard["i-1"].state.gone
+        table.update(state(1), 0.0)
+        table.mark_gone("i-1", 1.0)
+        assert table.record_heartbeat(messages.TargetBeat("i-1", 0, 1, False, 0), 2.0)
+        assert table.records["i-1"].state.gone
 
     def test_end_that_was_missed_is_told_again(self):
         table, registry = TargetTable(6000), TargetRegistry()
-        table.take(state(1), 0.0)
+        table.update(state(1), 0.0)
         registry.take([state(1)], 0.0)
-        table.gone("i-1", 1000.0)
-        beats = tuple(table.beats(2000.0, 1500.0))
+        table.mark_gone("i-1", 1000.0)
+        beats = tuple(table.heartbeats(2000.0, 1500.0))
         assert registry.take_beats(beats, 2.0) == ["i-1"]
 
     def test_beats_keep_a_target_a_candidate(self):
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wisteriapulley.control.targets import GONE_KEPT_MS, TargetTable
+from wisteriapulley.control.targets import GONE_RETENTION_MS, TargetTable
 from wisteriapulley.direct.registry import (
     ASIDE_S,
     DOWN_FIRST_S,
@@ -23,37 +23,37 @@
 class TestTargetTable:
     def test_older_news_change_nothing(self):
         table = TargetTable(6000)
-        assert table.take(state(sequence=4, leaving=True), 0.0)
-        assert not table.take(state(sequence=3), 10.0)
-        assert table.heard["i-1"].state.leaving
+        assert table.update(state(sequence=4, leaving=True), 0.0)
+        assert not table.update(state(sequence=3), 10.0)
+        assert table.records["i-1"].state.leaving
 
     def test_only_a_sequence_is_no_change(self):
         table = TargetTable(6000)
-        assert table.take(state(sequence=1), 0.0)
-        assert not table.take(state(sequence=2), 1.0)
-        assert table.take(state(sequence=3, version=2), 2.0)
+        assert table.update(state(sequence=1), 0.0)
+        assert not table.update(state(sequence=2), 1.0)
+        assert table.update(state(sequence=3, version=2), 2.0)
 
     def test_leaving_is_for_good(self):
         table = TargetTable(6000)
-        table.take(state(sequence=1, leaving=True), 0.0)
-        table.take(state(sequence=2), 1.0)
-        assert table.heard["i-1"].state.leaving
+        table.update(state(sequence=1, leaving=True), 0.0)
+        table.update(state(sequence=2), 1.0)
+        assert table.records["i-1"].state.leaving
 
     def test_late_heartbeat_does_not_bring_a_target_back(self):
         table = TargetTable(6000)
-        table.take(state(), 0.0)
-        table.gone("i-1", 1.0)
-        assert not table.take(state(sequence=99), 2.0)
-        table.sweep(GONE_KEPT_MS / 2)
-        assert table.heard["i-1"].state.gone
+        table.update(state(), 0.0)
+        table.mark_gone("i-1", 1.0)
+        assert not table.update(state(sequence=99), 2.0)
+        table.sweep(GONE_RETENTION_MS / 2)
+        assert table.records["i-1"].state.gone
 
     def test_silent_target_is_forgotten(self):
         table = TargetTable(6000)
-        table.take(state(), 0.0)
+        table.update(state(), 0.0)
         table.sweep(5000.0)
-        assert table.heard
+        assert table.records
         table.sweep(6001.0)
-        assert not table.heard
+        assert not table.records
 
     @pytest.mark.parametrize("seed", range(10))
     def test_any_order_and_route_ends_alike(self, seed):
@@ -65,8 +65,8 @@
             mixed = news + rng.sample(news, 4)
             rng.shuffle(mixed)
             for item in mixed:
-                table.take(item, 0.0)
-        ends = {table.heard["i-1"].state for table in tables}
+                table.update(item, 0.0)
+        ends = {table.records["i-1"].state for table in tables}
         assert ends == {state(sequence=12, leaving=True)}
 
 
@@ -75,31 +75,31 @@
 
     def test_leaving_and_gone_belong_to_the_earlier_start(self):
         table = TargetTable(6000)
-        table.take(state(sequence=90, leaving=True, started_ms=1000), 0.0)
-        table.gone("i-1", 1.0)
-        assert table.take(state(sequence=1, started_ms=2000), 2.0)
-        known = table.heard["i-1"].state
+        table.update(state(sequence=90, leaving=True, started_ms=1000), 0.0)
+        table.mark_gone("i-1", 1.0)
+        assert table.update(state(sequence=1, started_ms=2000), 2.0)
+        known = table.records["i-1"].state
         assert not (known.leaving or known.gone)
 
     def test_late_heartbeat_of_the_earlier_start(self):
         table = TargetTable(6000)
-        table.take(state(sequence=1, started_ms=2000), 0.0)
-        assert not table.take(state(sequence=99, version=3, started_ms=1000), 1.0)
-        assert table.heard["i-1"].state.version == 0
+        table.update(state(sequence=1, started_ms=2000), 0.0)
+        assert not table.update(state(sequence=99, version=3, started_ms=1000), 1.0)
+        assert table.records["i-1"].state.version == 0
 
     def test_start_is_told_only_by_the_later_one(self):
         table = TargetTable(6000)
-        table.take(state(sequence=40, version=3), 0.0)
-        assert table.take(state(sequence=1, started_ms=2000), 1.0)
-        assert table.heard["i-1"].state.version == 0
+        table.update(state(sequence=40, version=3), 0.0)
+        assert table.update(state(sequence=1, started_ms=2000), 1.0)
+        assert table.records["i-1"].state.version == 0
 
     def test_gone_without_a_start_ends_the_known_one(self):
         table = TargetTable(6000)
-        table.take(state(sequence=4, started_ms=1000), 0.0)
-        assert table.take(TargetState("i-1", gone=True, leaving=True), 1.0)
-        assert table.heard["i-1"].state.gone
-        assert not table.take(state(sequence=5, started_ms=1000), 2.0)
-        assert table.take(state(sequence=1, started_ms=3000), 3.0)
+        table.update(state(sequence=4, started_ms=1000), 0.0)
+        assert table.update(TargetState("i-1", gone=True, leaving=True), 1.0)
+        assert table.records["i-1"].state.gone
+        assert not table.update(state(sequence=5, started_ms=1000), 2.0)
+        assert table.update(state(sequence=1, started_ms=3000), 3.0)
 
     def test_registry_forgets_what_the_earlier_start_held_and_owed(self):
         registry = TargetRegistry()
@@ -133,24 +133,24 @@
         came = data.draw(st.lists(st.sampled_from(news), min_size=1, max_size=20))
         table, registry = TargetTable(6000), TargetRegistry()
         for item in came:
-            table.take(item, 0.0)
+            table.update(item, 0.0)
             registry.take([item], 0.0)
         newest = max(came, key=lambda item: (item.started_ms, item.sequence))
-        assert table.heard["i-1"].state == newest
+        assert table.records["i-1"].state == newest
         assert registry.targets["i-1"].state == newest
 
 
 class TestNewsOfAnotherWriter:
     def test_another_service_or_address_changes_nothing(self):
         table, registry = TargetTable(6000), TargetRegistry()
-        table.take(state(), 0.0)
+        table.update(state(), 0.0)
         registry.take([state()], 0.0)
         foreign = state(sequence=1 << 40)._replace(service="other")
         moved = state(sequence=1 << 40, address="10.9.9.9:1")
         for news in (foreign, moved):
-            assert not table.take(news, 1.0)
+            assert not table.update(news, 1.0)
             registry.take([news], 1.0)
-        assert table.heard["i-1"].state == state()
+        assert table.records["i-1"].state == state()
         assert registry.targets["i-1"].state == state()
 
 
