--- a/src/wisteriapulley/control/commands.py
+++ b/src/wisteriapulley/control/commands.py
@@ -7,13 +7,13 @@
 
 
 class ChangeCatalogue(msgspec.Struct, frozen=True, tag="change"):
-    """Accept a catalogue change."""
+    """Apply a catalogue change."""
 
     change: Change
 
 
 class PutClaim(msgspec.Struct, frozen=True, tag="claim"):
-    """Set a claim by compare-and-set; the leader stamps `now_ms`."""
+    """Set a claim by compare-and-set; the leader sets `now_ms`."""
 
     key: ClaimKey
     claim: Claim
@@ -22,10 +22,10 @@
 
 
 class AcquirePermit(msgspec.Struct, frozen=True, tag="acquire"):
-    """Let a target switch to `version`.
+    """Permit a target to switch to `version`.
 
-    `serving` says whether the target is open now: one that is not takes
-    nothing out of service and needs no place under ``max_unavailable``.
+    `serving` tells whether the target serves requests now. A target that does not
+    takes nothing out of service and is not limited by ``max_unavailable``.
     """
 
     service: str
@@ -37,10 +37,10 @@
 
 
 class ReleasePermit(msgspec.Struct, frozen=True, tag="release"):
-    """The target has switched, or is gone.
+    """Release the permit of a target that has switched or is gone.
 
-    `fencing` names the permit that is released, so that a late release frees
-    no newer one; 0 names whichever stands.
+    `fencing` names the permit to release, so that a late release does not free a newer
+    one; 0 releases any.
     """
 
     target: str
@@ -48,16 +48,16 @@
 
 
 class PutRouting(msgspec.Struct, frozen=True, tag="routing"):
-    """Put a routing table in force, if its version is the highest yet.
+    """Put a routing table in force if its version is the highest so far.
 
     Attributes
     ----------
     version : int
-        The operator's number of the table.
+        Version that the operator gave the table.
     table : bytes
-        Compressed table in the product's encoding.
+        Compressed table in this project's encoding.
     original : bytes
-        Compressed text as the operator sent it, to be read back.
+        Compressed text as the operator sent it, returned to operators on request.
     """
 
     version: int
@@ -66,20 +66,20 @@
 
 
 class PutWeights(msgspec.Struct, frozen=True, tag="weights"):
-    """Name the version of a model's weights, if it is the highest yet."""
+    """Set the desired version of a model's weights if it is the highest so far."""
 
     model: str
     version: int
 
 
 class VersionResult(msgspec.Struct, frozen=True):
-    """Version in force after a command that names one."""
+    """Version in force after a command that sets one."""
 
     version: int
 
 
 class PermitResult(msgspec.Struct, frozen=True):
-    """Outcome of a permit request; `fencing` grows with each permit."""
+    """Outcome of a permit request; `fencing` increases with each permit."""
 
     code: int
     fencing: int = 0
@@ -91,7 +91,7 @@
 Result = ChangeResult | ClaimResult | PermitResult | VersionResult
 
 COMMAND_DECODER = msgspec.msgpack.Decoder(Command)
-# Which role may send which command over its links.
+# Commands that each role may send over its links.
 ALLOWED_COMMANDS = {
     "entry": (PutClaim,),
     "sidecar": (AcquirePermit, ReleasePermit),
--- a/src/wisteriapulley/control/driver.py
+++ b/src/wisteriapulley/control/driver.py
@@ -1,4 +1,4 @@
-"""Joins the pure replica to its disk, its peers and the replicated state."""
+"""Connects the pure replica to its disk, its peers and the replicated state."""
 
 import asyncio
 import logging
@@ -30,26 +30,26 @@
 log = logging.getLogger(__name__)
 
 MIN_TICK_S = 0.02
-# A leader whose disk takes longer for one sync gives up its lead: it could
-# acknowledge nothing, and the others elect a leader within two seconds.
+# A leader whose disk takes longer for one sync steps down: it can't acknowledge
+# anything, and the others elect a leader within two seconds.
 MAX_SYNC_MS = 600.0
-# A deadline may move nearer while the driver sleeps: it looks this often.
+# Upper bound of a tick, since a deadline may move nearer while the driver sleeps.
 MAX_TICK_S = 0.1
 PROPOSE_TIMEOUT_S = 3.0
-# A full disk is tried again this often: a small write, and the others do without
-# this instance meanwhile.
+# Interval at which a full disk is tried with a small write. Meanwhile the quorum works
+# without this instance.
 DISK_RETRY_MS = 250.0
 RETRY_AFTER_MS = 1000
-# A disk that is no member yet asks this often to be taken in.
+# Interval at which an instance that is not a member yet requests to join.
 JOIN_RETRY_S = 0.2
-# A commit is noted on the disk this often: one write for all commits of a tenth of a
-# second, which is far below the time that an election takes after a start.
+# Interval at which the commit index is saved: one write for all commits of a tenth of
+# a second, which is far below the time of an election after a start.
 COMMIT_SAVE_INTERVAL_MS = 100.0
-# Of a snapshot in one message: a few milliseconds of a follower's disk, so that
-# a transfer never holds heartbeats up for long.
+# Size of one snapshot message: it takes a follower's disk a few milliseconds, so that
+# a transfer never delays heartbeats for long.
 SNAPSHOT_PART_BYTES = 1 << 18
-# Handing the lead over takes a round trip or two; past this time the others
-# elect a leader by themselves.
+# A leadership transfer takes a round trip or two; after this time the others elect a
+# leader by themselves.
 TRANSFER_TIMEOUT_S = 1.0
 
 REPLICA_MESSAGES = (
@@ -65,7 +65,7 @@
 
 
 def unix_ms() -> int:
-    """Read the wall clock in milliseconds."""
+    """Return the wall-clock time in milliseconds."""
     return time.time_ns() // 1_000_000
 
 
@@ -77,19 +77,19 @@
     settings : ControlSettings
         Timing and data folder.
     state : ControlState
-        What committed commands drive.
+        State machine that committed commands are applied to.
     peers : dict
         Link keeper by node id.
     on_applied : callable
         Called with the result of each applied command.
     on_fatal : callable
-        Called when the disk fails: nothing may be acknowledged any more.
+        Called when the disk fails: nothing may be acknowledged after that.
 
     Attributes
     ----------
     suspended : bool
-        Whether the disk is full. The instance goes on with what it knows, without
-        a vote, and takes part again by itself when there is room.
+        Whether the disk is full. The instance keeps serving its current state,
+        without a vote, and rejoins the quorum by itself when there is space.
     """
 
     def __init__(
@@ -128,14 +128,14 @@
         if self.storage.failure is not None:
             self.suspend(self.storage.failure)
         self.syncing_since_ms: float | None = None
-        # Newest link that a peer opened to this instance, by node id: it may
-        # stand before this instance's own keeper has connected.
+        # Newest link that a peer opened to this instance, by node id. It may be open
+        # before this instance's own keeper has connected.
         self.accepted_links: dict[str, Link] = {}
 
     def new_replica(self, identity: DiskIdentity, since_ms: float) -> Replica:
-        """Make the replica from what the disk holds.
+        """Return a replica with the state that is on the disk.
 
-        Until `since_ms` an earlier one may have given its word to a leader.
+        Until `since_ms` an earlier replica may have granted a lease to a leader.
         """
         replica = Replica(
             self.settings.node_id,
@@ -158,53 +158,53 @@
         return replica
 
     def start(self) -> None:
-        """Start ticking; what is known to be committed is applied at once."""
+        """Start ticking, and apply at once what is known to be committed."""
         self.wakeup.set()
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(self.run()), loop.create_task(self.tick())]
 
     async def tick(self) -> None:
-        """Wake the replica when its next deadline comes."""
+        """Wake the replica at its next deadline."""
         while True:
             await asyncio.sleep(self.tick_delay_s())
             self.step_down_if_stalled()
             self.wakeup.set()
 
     def step_down_if_stalled(self) -> None:
-        """Give up the lead while the disk answers nothing."""
+        """Step down as leader while a disk operation does not complete."""
         since_ms = self.syncing_since_ms
         if since_ms is None or not self.replica.is_leader:
             return
         if steady_ms() - since_ms > MAX_SYNC_MS:
-            log.warning("the disk stalls: giving up the lead")
+            log.warning("the disk stalls: stepping down as leader")
             self.replica.step_down()
 
     def tick_delay_s(self) -> float:
-        """Return how long the replica has nothing to do by itself.
+        """Return the delay until the replica's next deadline.
 
-        A fixed pace of TICK_S took most of an idle instance's processor time.
+        A fixed interval of MIN_TICK_S took most of an idle instance's processor time.
         """
         replica = self.replica
         deadline_ms = (
             replica.next_beat_ms if replica.is_leader else (replica.election_at_ms)
         )
         if self.commit_index_unsaved and not self.suspended:
-            # Without this an idle instance notes a commit only at its next tick,
-            # up to IDLE_S late, and a stop until then loses the note.
+            # Otherwise an idle instance saves the commit index only at its next tick,
+            # up to MAX_TICK_S late, and a stop before that loses it.
             deadline_ms = min(deadline_ms, self.next_commit_save_ms)
         pause_s = (deadline_ms - steady_ms()) / 1000
         return min(max(pause_s, MIN_TICK_S), MAX_TICK_S)
 
     @property
     def commit_index_unsaved(self) -> bool:
-        """Whether more is applied than the disk's note says is committed."""
+        """Whether more is applied than the commit index on the disk covers."""
         return self.replica.applied_index > self.storage.committed
 
     async def run(self) -> None:
-        """Take effects one batch at a time: sync, send, apply.
+        """Process effects one batch at a time: sync, send, apply.
 
-        Every proposal and message that came since the last batch shares one
-        fsync: that is the group commit.
+        All proposals and messages that arrived since the last batch share one fsync
+        (group commit).
         """
         while True:
             await self.wakeup.wait()
@@ -218,7 +218,7 @@
                 return
 
     async def run_batch(self) -> None:
-        """Take the effects of one batch, or wait for room on a full disk."""
+        """Process the effects of one batch, or wait for space on a full disk."""
         if self.suspended:
             self.apply_committed()
             await self.resume_if_writable()
@@ -228,12 +228,12 @@
         await self.process_ready()
 
     def suspend(self, error: StorageError) -> None:
-        """Take no part in the quorum while the disk is full.
+        """Leave the quorum while the disk is full.
 
-        Ending the process would not help: its next start would meet the same disk,
-        and meanwhile nobody would hear targets or answer followers here.
+        Ending the process would not help: its next start would find the same disk, and
+        meanwhile targets and followers would get no response from this instance.
         """
-        log.error("the disk is full, no vote until there is room: %s", error)
+        log.error("the disk is full, no vote until there is space: %s", error)
         self.suspended = True
         self.replica.suspend()
         for _, future in self.pending.values():
@@ -241,9 +241,9 @@
                 future.set_exception(no_quorum("the disk is full"))
 
     async def resume_if_writable(self) -> None:
-        """Read the disk again, and take part, once it takes writes.
+        """Reload the state from the disk and rejoin once writes succeed.
 
-        What was in memory only was never acknowledged, and is forgotten.
+        State that was only in memory was never acknowledged, and is discarded.
         """
         now_ms = steady_ms()
         if now_ms < self.next_disk_retry_ms:
@@ -263,11 +263,11 @@
             self.replica.suspend()
             return
         self.suspended = False
-        log.warning("the disk has room again", extra=fields(applied=applied))
+        log.warning("the disk has space again", extra=fields(applied=applied))
         self.wakeup.set()
 
     def fail(self, error: StorageError) -> None:
-        """Stop for good: the disk, or the cluster, is not what it should be."""
+        """Stop for good, because of a fault of the disk or of the cluster."""
         log.error("this instance stops: %s", error)
         self.failed = True
         self.replica.step_down()
@@ -277,14 +277,14 @@
         self.on_fatal(error)
 
     async def process_ready(self) -> None:
-        """Send what needs no sync, sync, send the rest, then apply."""
+        """Send what needs no sync, sync, send the rest, and apply."""
         self.replica.flush_if_pending()
         ready = self.replica.ready()
         for node_id, message in ready.early:
             self.send(node_id, message)
         if ready.early and ready.records:
-            # The transport writes at the end of this turn of the loop: let it,
-            # so that the followers' syncs run at the same time as this one.
+            # The transport writes at the end of this iteration of the event loop.
+            # Yield, so that the followers sync at the same time as this instance.
             await asyncio.sleep(0)
         await self.persist(ready)
         for node_id, message in ready.messages:
@@ -297,16 +297,16 @@
                 self.applied.notify_all()
 
     def apply_committed(self) -> list[Record]:
-        """Apply what is committed and synced; return it."""
+        """Apply the records that are committed and synced; return them."""
         committed = self.replica.take_committed()
         for record in committed:
             self.apply(record)
         return committed
 
     async def persist(self, ready: Ready) -> None:
-        """Make the effects last, in a thread: a disk may stall for seconds.
+        """Sync the effects in a thread, since a disk may stall for seconds.
 
-        Replica messages that come meanwhile only add to the next batch.
+        Replica messages that arrive meanwhile only add to the next batch.
         """
         if ready.hard_state is not None or ready.records:
             await self.run_on_disk(
@@ -327,7 +327,7 @@
         self.replica.synced(ready)
 
     async def run_on_disk(self, operation, *arguments: object) -> object:
-        """Run one disk operation in a thread and note how long it takes."""
+        """Run one disk operation in a thread and record when it started."""
         self.syncing_since_ms = steady_ms()
         try:
             return await asyncio.to_thread(operation, *arguments)
@@ -335,16 +335,16 @@
             self.syncing_since_ms = None
 
     def copy_log(self) -> Log:
-        """Copy the log for the disk's thread, as the replica goes on with it."""
-        held = self.replica.log
-        return Log(held.base_index, held.base_term, held.records)
+        """Return a copy of the log for the disk thread; the replica changes its own."""
+        log_now = self.replica.log
+        return Log(log_now.base_index, log_now.base_term, log_now.records)
 
     def hard_state(self) -> HardState:
-        """Return the hard state in memory, as new as what is synced or newer."""
+        """Return the hard state in memory, which is at least as new as the synced."""
         return HardState(self.replica.term, self.replica.voted_for)
 
     async def save_commit_index(self) -> None:
-        """Note on the disk how far the log is committed, but not each time."""
+        """Save the commit index, at most once per interval."""
         now_ms = steady_ms()
         if not self.commit_index_unsaved or now_ms < self.next_commit_save_ms:
             return
@@ -354,9 +354,8 @@
     async def compact_if_due(self) -> None:
         """Replace the log by a snapshot when it has outgrown the state.
 
-        At the least `snapshot_bytes` of log, and at the least as much log as
-        the last snapshot was long, so that snapshots cost no more disk than the
-        log itself.
+        The log has at least `snapshot_bytes` and at least the size of the last
+        snapshot, so that snapshots write no more to the disk than the log itself.
         """
         last = self.storage.snapshot.total if self.storage.snapshot else 0
         if self.storage.appended_bytes < max(self.settings.snapshot_bytes, last):
@@ -370,7 +369,7 @@
         )
 
     def request_join(self) -> None:
-        """Ask every peer to be taken in, while this disk is no member."""
+        """Request membership from every peer while this disk is not a member."""
         replica = self.replica
         if replica.is_member or replica.identity in replica.members.removed:
             return
@@ -381,7 +380,7 @@
                 self.send(node_id, message)
 
     def send(self, node_id: str, message: tuple) -> None:
-        """Send to a peer; what can't be sent is lost, and sent again later."""
+        """Send a message to a peer; without a link it is lost, and sent again later."""
         if isinstance(message, messages.SnapshotPart):
             if message.last_index != self.storage.snapshot.last_index:
                 return
@@ -392,7 +391,7 @@
             link.post(message)
 
     def link_to(self, node_id: str) -> Link | None:
-        """Return an open link to a peer, whoever opened it."""
+        """Return an open link to a peer, in whichever direction it was opened."""
         keeper = self.peers.get(node_id)
         link = keeper.open_link if keeper is not None else None
         if link is not None:
@@ -403,7 +402,7 @@
         return accepted
 
     def receive(self, message: tuple) -> None:
-        """Take in a replica message."""
+        """Handle a replica message."""
         if self.failed or self.suspended:
             return
         try:
@@ -414,14 +413,14 @@
         self.wakeup.set()
 
     def fail_pending(self, index: int) -> None:
-        """Answer proposals that a snapshot covers: their outcome is not known."""
-        for waiting in [i for i in self.pending if i <= index]:
-            _, future = self.pending.pop(waiting)
+        """Fail proposals that a snapshot covers: their outcome is unknown."""
+        for covered in [i for i in self.pending if i <= index]:
+            _, future = self.pending.pop(covered)
             if not future.done():
                 future.set_exception(no_quorum("another leader took over"))
 
     def apply(self, record: Record) -> None:
-        """Apply one committed record and answer who proposed it."""
+        """Apply one committed record and complete its proposal."""
         result = None
         if record.kind == RecordKind.COMMAND:
             result = self.state.apply(record.index, record.data)
@@ -435,19 +434,19 @@
             future.set_exception(no_quorum("another leader took over"))
 
     async def propose(self, command: Command) -> Result:
-        """Commit a command, here or at the leader.
+        """Commit a command as the leader.
 
         Raises
         ------
         WisteriapulleyError
-            NO_QUORUM: the outcome is not known to be committed.
+            NO_QUORUM: this instance does not lead, or the outcome is unknown.
         """
         if self.replica.is_leader:
             return await self.propose_here(command)
         raise no_quorum("this instance does not lead")
 
     async def propose_here(self, command: Command) -> Result:
-        """Commit a command as the leader."""
+        """Append a command to the log with the leader's time, and commit it."""
         data = encode(stamp(command, unix_ms()))
         return await self.wait_committed(self.replica.propose(data))
 
@@ -472,12 +471,12 @@
         return self.link_to(self.replica.leader)
 
     async def read_barrier(self) -> None:
-        """Wait until what a majority had accepted at the call is applied here.
+        """Wait until everything that was committed at the call is applied here.
 
         Raises
         ------
         WisteriapulleyError
-            NO_QUORUM: no leader with a lease answers.
+            NO_QUORUM: no leader with a lease responds.
         """
         lease = await self.lease()
         async with asyncio.timeout(PROPOSE_TIMEOUT_S):
@@ -487,7 +486,7 @@
                 )
 
     async def lease(self) -> messages.Lease:
-        """Return the leader's lease, asked of it when another leads."""
+        """Return the leader's lease; request it if another instance leads."""
         own = self.own_lease()
         if own is not None:
             return own
@@ -510,11 +509,11 @@
         )
 
     def is_ready(self) -> bool:
-        """Ready when a leader is known and this disk has its vote."""
+        """Return whether a leader is known and this disk has a vote."""
         return bool(self.replica.leader) and self.replica.is_voter
 
     async def transfer_leadership(self) -> None:
-        """Give the lead to another voter, so that nobody waits for a timeout."""
+        """Transfer leadership to another voter, to avoid an election timeout."""
         deadline_ms = steady_ms() + TRANSFER_TIMEOUT_S * 1000
         if not (self.replica.is_leader and self.replica.other_voters()):
             return
@@ -528,7 +527,7 @@
         self.replica.handing_over = False
 
     async def stop(self) -> None:
-        """Hand the lead over, stop ticking and close the disk."""
+        """Transfer leadership, stop ticking and close the disk."""
         if not self.failed:
             await self.transfer_leadership()
         for task in self.tasks:
@@ -537,7 +536,7 @@
 
 
 def no_quorum(why: str) -> Error:
-    """Make the error for want of a quorum."""
+    """Return the error for a missing quorum."""
     return WireError(
         ResultCode.NO_QUORUM, f"{why}; resend the same request", RETRY_AFTER_MS
     )
--- a/src/wisteriapulley/control/following.py
+++ b/src/wisteriapulley/control/following.py
@@ -1,9 +1,9 @@
-"""Follows control instances: entries and sidecars hear their news through it.
+"""Follows control instances for an entry or a sidecar.
 
-A follower begins with its seeds, learns of the other instances from them, and keeps
-links to the few nearest that answer: see `control.nearest`. What it holds only moves
-on: a routing table or a version of weights is never replaced by an older one, whoever
-sends it.
+A follower starts with its seeds, gets the other instances from them, and keeps links to
+the few nearest that respond: see `control.nearest`. Its state only moves forward: a
+routing table or a version of weights is never replaced by an older one, regardless of
+the sender.
 """
 
 import asyncio
@@ -30,35 +30,35 @@
 
 log = logging.getLogger(__name__)
 
-# An instance of the own region pushes a new table within this time; only a
-# table that did not come is asked for over a region's border.
+# An instance of this region pushes a new table within this time; only a table that did
+# not arrive is requested across regions.
 PULL_DELAY_S = 0.15
 FOLLOW_TIMEOUT_S = 1.5
-# Wanted by nobody who only asks for weights: no table is that new.
+# Version given by a follower that needs no table: no table is newer.
 NO_TABLE_VERSION = (1 << 63) - 1
-# Which instances to follow is looked at this often, beside each time that a link
-# opens or closes or that instances are named.
+# The choice of instances is reviewed at this interval, and whenever a link opens or
+# closes or instances are added.
 CHOOSE_INTERVAL_S = 0.25
-# A first connection within a region takes milliseconds; past this time the next
-# instance is tried beside it.
+# A first connection within a region takes milliseconds; after this time the next
+# instance is tried in addition.
 FIRST_RESPONSE_TIMEOUT_S = 0.5
-# One that did not answer for so long gives its place in the order to the others,
-# and is tried again after a pause: a restart takes a second or two.
+# An instance that did not respond for this long moves to the end of the order, and is
+# preferred again after a pause: a restart takes a second or two.
 UNRESPONSIVE_AFTER_S = 3.0
 AVOID_DURATION_S = 4.0
 
 
 class FollowedInstance:
-    """One control instance that this process follows.
+    """A control instance that this process follows.
 
     Attributes
     ----------
-    is_heard : bool
-        Whether it has answered over the link that is open.
-    chosen_s : float
-        When its first connection was begun; long ago once a link has closed.
-    heard_s : float
-        When it last could be relied on.
+    has_responded : bool
+        Whether it has responded over the current link.
+    connecting_since_s : float
+        When its first connection was started; minus infinity once a link has closed.
+    last_usable_s : float
+        When it was last usable.
     """
 
     def __init__(self, keeper: LinkKeeper, now_s: float):
@@ -68,9 +68,9 @@
         self.last_usable_s = now_s
 
     def check_usable(self, now_s: float) -> bool:
-        """Tell, and note, whether it can be relied on.
+        """Return whether the instance is usable, and record the time if it is.
 
-        One that has not had time to answer yet counts as one that can.
+        An instance that has not had time to respond yet counts as usable.
         """
         link = self.keeper.open_link
         if link is None or not self.has_responded:
@@ -82,20 +82,20 @@
 
 
 class ControlFollower:
-    """Links to the nearest control instances, and the newest that any of them said.
+    """Links to the nearest control instances, and the newest state that they sent.
 
     Parameters
     ----------
     identity : Identity
-        Who this process is.
+        Identity of this process.
     settings : NodeSettings
-        For the heartbeat and silence times.
+        Settings with the heartbeat and silence times.
     seeds : iterable of Address
-        Wire addresses to begin with; all instances share their port.
+        Wire addresses of the first instances; all instances share their port.
     heartbeat : callable
-        Makes the heartbeat to send.
-    wants_table : bool
-        Whether routing tables are of interest.
+        Returns the heartbeat to send.
+    follow_routing : bool
+        Whether to request routing tables.
     """
 
     def __init__(
@@ -117,7 +117,7 @@
         self.fresh = False
         self.versions = NamedVersions()
         self.engines: dict[str, Engine] = {}
-        # Failure domain of each known instance by host; empty where not known.
+        # Failure domain of each known instance by host; empty if unknown.
         self.instances: dict[str, str] = {}
         self.followed: dict[str, FollowedInstance] = {}
         self.avoided_until_s: dict[str, float] = {}
@@ -127,15 +127,15 @@
         self.on_models: Callable[[], None] = ignore
         self.on_targets: Callable[[tuple[messages.TargetState, ...]], None] = ignore
         self.on_suspects: Callable[[messages.SuspectNews], None] = ignore
-        # Makes what an instance is told that is followed from now on.
+        # Returns the suspects to send to an instance when its link opens.
         self.own_suspects: Callable[[], messages.SuspectNews] = messages.SuspectNews
-        # Takes beats of targets; returns those of which news were missed.
+        # Handles heartbeats of targets; returns ids whose announcements are missing.
         self.on_heartbeats: Callable[[tuple[messages.TargetBeat, ...]], list[str]] = (
             none_missed
         )
 
     def start(self) -> None:
-        """Begin to follow the seeds."""
+        """Start to follow the seeds."""
         self.add_instances(seed.host for seed in self.seeds)
         self.choose_task = asyncio.get_running_loop().create_task(self.choose_loop())
 
@@ -143,9 +143,9 @@
         """Close all links."""
         if self.choose_task is not None:
             self.choose_task.cancel()
-        # Emptied first, so that links that close now make it choose no others.
-        ended, self.followed = self.followed, {}
-        for followed in ended.values():
+        # Cleared first, so that links that close now do not start another choice.
+        closing, self.followed = self.followed, {}
+        for followed in closing.values():
             await followed.keeper.stop()
 
     def open_links(self) -> list[Link]:
@@ -154,30 +154,30 @@
         return [link for link in links if link is not None]
 
     def publish(self, update: messages.SuspectNews) -> None:
-        """Tell the instances that are followed."""
+        """Send an update to all followed instances."""
         broadcast(self.open_links(), update)
 
     def entries_reported(self) -> int:
-        """Return how many entries there are, as far as an instance knows."""
-        told = (link.peer_heartbeat.entries for link in self.open_links())
-        return max(told, default=0)
+        """Return the largest number of entries that an instance reports."""
+        reported = (link.peer_heartbeat.entries for link in self.open_links())
+        return max(reported, default=0)
 
-    # -- whom to follow --------------------------------------------------
+    # -- choice of instances ---------------------------------------------
 
     def add_instances(self, hosts: Iterable[str]) -> None:
-        """Know of instances; where they are is told by those that are followed."""
+        """Add instances; the followed ones report their failure domains."""
         for host in hosts:
             self.instances.setdefault(host, "")
         self.choose()
 
     async def choose_loop(self) -> None:
-        """Choose again and again: silence gives no event."""
+        """Review the choice at an interval, since silence causes no event."""
         while True:
             await asyncio.sleep(CHOOSE_INTERVAL_S)
             self.choose()
 
     def choose(self) -> None:
-        """Follow the nearest instances that answer, and no others."""
+        """Follow the nearest usable instances, and no others."""
         now_s = steady_s()
         self.avoid_unresponsive(now_s)
         order = by_nearness(
@@ -191,12 +191,12 @@
             self.disconnect(host)
 
     def is_usable(self, host: str, now_s: float) -> bool:
-        """Tell whether an instance gives news, or would be tried just now."""
+        """Return whether an instance is usable or has not been tried yet."""
         followed = self.followed.get(host)
         return followed is None or followed.check_usable(now_s)
 
     def avoid_unresponsive(self, now_s: float) -> None:
-        """Put instances last in the order that gave no news for long."""
+        """Move instances that were not usable for long to the end of the order."""
         for host, until_s in tuple(self.avoided_until_s.items()):
             if now_s >= until_s:
                 del self.avoided_until_s[host]
@@ -211,7 +211,7 @@
                 self.avoided_until_s[host] = now_s + AVOID_DURATION_S
 
     def connect(self, host: str, now_s: float) -> None:
-        """Keep a link to an instance."""
+        """Open and keep a link to an instance."""
         keeper = LinkKeeper(
             [Address(host, self.seeds[0].port)],
             self.identity,
@@ -224,19 +224,19 @@
         keeper.start()
 
     def disconnect(self, host: str) -> None:
-        """Close the link to an instance: nearer ones answer."""
-        log.info("control instance left", extra=fields(peer=host))
+        """Close the link to an instance, since nearer ones are usable."""
+        log.info("control instance no longer followed", extra=fields(peer=host))
         keeper = self.followed.pop(host).keeper
         task = asyncio.get_running_loop().create_task(keeper.stop())
         task.add_done_callback(lambda done: done.exception())
 
-    # -- news ------------------------------------------------------------
+    # -- updates ---------------------------------------------------------
 
     async def link_opened(self, link: Link) -> None:
-        """Ask an instance for its news; a failure leaves the link to others."""
+        """Request updates from an instance; a failure leaves it to the others."""
         link.on_heartbeat = self.check_heartbeat
         link.on_close = self.link_closed
-        log.info("control instance found", extra=fields(peer=link.peer_id))
+        log.info("control instance connected", extra=fields(peer=link.peer_id))
         own = self.own_suspects()
         if own.suspects:
             link.post(own)
@@ -247,12 +247,12 @@
             self.choose()
 
     def followed_over(self, link: Link) -> FollowedInstance | None:
-        """Return the instance behind a link, if it is followed."""
+        """Return the followed instance at the other end of a link, or None."""
         found = (f for f in self.followed.values() if f.keeper.link is link)
         return next(found, None)
 
     def link_closed(self, link: Link) -> None:
-        """Turn to the next instance."""
+        """Mark the instance as not connected, and choose another."""
         followed = self.followed_over(link)
         if followed is not None:
             followed.has_responded = False
@@ -260,17 +260,17 @@
             self.choose()
 
     async def pull(self, link: Link) -> None:
-        """Take the table that an instance has in force."""
+        """Request the routing table that an instance has in force."""
         known = self.table.version if self.follow_routing else NO_TABLE_VERSION
         try:
             frame = await link.request(messages.Follow(known), FOLLOW_TIMEOUT_S)
         except WisteriapulleyError as error:
-            log.info("no news of %s: %s", link.peer_id, error)
+            log.info("no updates from %s: %s", link.peer_id, error)
             return
         await self.handle(link, frame)
 
     def check_heartbeat(self, link: Link) -> None:
-        """Ask for a newer table soon, unless it comes by itself."""
+        """Request a newer table after a delay, unless it is pushed meanwhile."""
         if not self.follow_routing or self.pull_task is not None:
             return
         if self.is_behind(link):
@@ -278,14 +278,14 @@
             self.pull_task = loop.create_task(self.pull_later(link))
 
     def is_behind(self, link: Link) -> bool:
-        """Tell whether an instance has a newer table, or could confirm this one."""
-        told = link.peer_heartbeat
-        if told.routing_version > self.table.version:
+        """Return whether an instance has a newer table, or could confirm this one."""
+        reported = link.peer_heartbeat
+        if reported.routing_version > self.table.version:
             return True
-        return not self.fresh and told.state != ISOLATED_STATE
+        return not self.fresh and reported.state != ISOLATED_STATE
 
     async def pull_later(self, link: Link) -> None:
-        """Ask for the table of a heartbeat if it still is missing."""
+        """Request the table that a heartbeat reported if it is still missing."""
         try:
             await asyncio.sleep(PULL_DELAY_S)
             if self.is_behind(link):
@@ -294,22 +294,22 @@
             self.pull_task = None
 
     async def handle(self, link: Link, frame: Frame) -> None:
-        """Take news in."""
+        """Handle an update from an instance."""
         if isinstance(frame.message, messages.TargetBeats):
             self.receive_heartbeats(frame.message, link)
         else:
             self.receive(frame.message)
 
     def receive_heartbeats(self, message: messages.TargetBeats, link: Link) -> None:
-        """Take in which targets were heard again; ask for missed news."""
-        missed = self.on_heartbeats(message.beats)
-        if missed:
-            log.info("news of targets missed", extra=fields(targets=len(missed)))
-            link.post(messages.TargetQuery(tuple(missed)))
+        """Handle heartbeats of targets; request the announcements that are missing."""
+        missing = self.on_heartbeats(message.beats)
+        if missing:
+            log.info("target announcements missed", extra=fields(targets=len(missing)))
+            link.post(messages.TargetQuery(tuple(missing)))
 
     @singledispatchmethod
     def receive(self, message: tuple) -> None:
-        """Take in a message, by its kind."""
+        """Handle a message, by its type."""
         log.warning("unexpected %s", type(message).__name__)
 
     @receive.register
@@ -321,11 +321,11 @@
             self.fresh = True
 
     def apply_table(self, content: bytes) -> None:
-        """Put a newer table in force here."""
+        """Decode a newer table and put it in force."""
         try:
             self.table = unpack_table(content)
         except (msgspec.DecodeError, ValueError) as error:
-            log.error("a routing table can't be read: %s", error)
+            log.error("cannot decode a routing table: %s", error)
             return
         log.info("routing table in force", extra=fields(revision=self.table.version))
         self.on_table(self.table)
@@ -343,7 +343,7 @@
     def record_version(
         self, model: str, named: messages.VersionAge, now_s: float
     ) -> None:
-        """Keep a version, and the earliest word of it."""
+        """Record a desired version and the earliest time at which it was accepted."""
         if self.versions.note(model, named.version, now_s - named.age_ms / 1000):
             log.info(
                 "weights named",
@@ -365,15 +365,17 @@
         """Handle the message `ControlNews`."""
         domains = message.failure_domains or ("",) * len(message.hosts)
         named = zip(message.hosts, domains, strict=True)
-        # What one instance has not met yet another may have told before.
-        told = {host: domain or self.instances.get(host, "") for host, domain in named}
+        # One instance may not know a failure domain that another one has reported.
+        reported = {
+            host: domain or self.instances.get(host, "") for host, domain in named
+        }
         seeds = {seed.host: self.instances.get(seed.host, "") for seed in self.seeds}
-        self.instances = seeds | told
+        self.instances = seeds | reported
         self.choose()
 
 
 def engine_of(state: messages.ModelState) -> Engine:
-    """Read the figures of an engine from the wire."""
+    """Return the engine parameters in a `ModelState` message."""
     return Engine(
         state.model,
         state.slots,
@@ -384,10 +386,10 @@
     )
 
 
-def ignore(*news: object) -> None:
-    """Take news that nobody asked for."""
+def ignore(*updates: object) -> None:
+    """Ignore updates that have no handler."""
 
 
-def none_missed(*news: object) -> list[str]:
-    """Miss nothing of news that nobody asked for."""
+def none_missed(*updates: object) -> list[str]:
+    """Report nothing missing in updates that have no handler."""
     return []
--- a/src/wisteriapulley/control/nearest.py
+++ b/src/wisteriapulley/control/nearest.py
@@ -1,9 +1,9 @@
 """Which control instances an entry or a sidecar follows. Pure.
 
-Load: every follower of every control instance hears each piece of news once from
-each, and sends it heartbeats. Harm prevented: that cost grows with the product of
-both. A follower keeps to the few nearest instances that know a leader, and takes
-the next ones as soon as one of them is silent or cut off from its quorum.
+A follower receives each update from every instance that it follows, and sends each of
+them heartbeats. If all followed all, that cost would grow with the product of both.
+So a follower uses only the few nearest instances that know a leader, and moves on to
+the next as soon as one of them is unresponsive or cut off from its quorum.
 """
 
 import math
@@ -13,11 +13,12 @@
 from wisteriapulley.regions import Regions
 from wisteriapulley.rendezvous import rendezvous
 
-# Instances that a follower hears at the same time: one that dies, stalls or lags
-# costs nothing while the other is heard.
+# Usable instances that a follower uses at the same time: the failure, stall or lag of
+# one has no effect while the other responds.
 FOLLOWED_INSTANCES = 2
-# Of those that do not answer, so many are tried beside them at once: a loss of a
-# whole region is passed over in one step, and a loss of all ends without a storm.
+# Instances that do not respond are tried beside them, at most this many at once: the
+# outage of a whole region is skipped in one step, and after an outage of all
+# instances there is no connection storm.
 MAX_UNANSWERED = 5
 
 
@@ -27,25 +28,25 @@
     regions: Regions,
     avoided: Iterable[str] = (),
 ) -> list[str]:
-    """Order control instances, the one to follow first before the others.
+    """Return control instances in the order of preference for following.
 
     Parameters
     ----------
     instances : mapping of str to str
-        Failure domain by host; empty text where it is not known.
+        Failure domain by host; empty if unknown.
     own : Member
-        Who follows, and where it is.
+        Name and failure domain of the follower.
     regions : Regions
         Region of each failure domain.
     avoided : iterable of str
-        Hosts that did not answer lately: they come last.
+        Hosts that did not respond lately: they come last.
     """
-    shunned = frozenset(avoided)
+    last = frozenset(avoided)
 
     def distance(host: str) -> tuple[bool, bool, bool, bytes]:
         domain = instances[host]
         return (
-            host in shunned,
+            host in last,
             not regions.same(domain, own.failure_domain),
             domain != own.failure_domain,
             rendezvous(own.name, host),
@@ -55,7 +56,7 @@
 
 
 def entries_in_fleet(followers: Sequence[int]) -> int:
-    """Estimate the entries of a fleet, from those that follow each instance.
+    """Estimate the number of entries from the followers of each instance.
 
     Parameters
     ----------
@@ -69,23 +70,23 @@
 def instances_to_follow(
     order: Iterable[str], answers: Callable[[str], bool]
 ) -> list[str]:
-    """Return the first instances of an order, until enough of them are heard.
+    """Return the first instances of an order that include enough usable ones.
 
     Parameters
     ----------
     order : iterable of str
         Hosts, best first.
-    is_heard : callable
-        Whether news come from a host, or its first connection is being made.
+    answers : callable
+        Returns whether a host sends updates, or its first connection is being made.
     """
     chosen: list[str] = []
-    heard = 0
+    answering = 0
     for host in order:
         if (
-            heard == FOLLOWED_INSTANCES
+            answering == FOLLOWED_INSTANCES
             or len(chosen) == FOLLOWED_INSTANCES + MAX_UNANSWERED
         ):
             break
         chosen.append(host)
-        heard += answers(host)
+        answering += answers(host)
     return chosen
--- a/src/wisteriapulley/control/permits.py
+++ b/src/wisteriapulley/control/permits.py
@@ -1,4 +1,4 @@
-"""Switch permits: how many targets may be out of service at once."""
+"""Switch permits, which limit how many targets are out of service at once."""
 
 from collections.abc import Iterator, Mapping
 
@@ -10,7 +10,7 @@
 
 
 class Permit(msgspec.Struct, frozen=True):
-    """A target that may switch now."""
+    """Permission of a target to switch to a version."""
 
     service: str
     failure_domain: str
@@ -21,7 +21,7 @@
 
 
 class PermitTable:
-    """Standing permits by target; a pure state machine that the log drives."""
+    """Granted permits by target; a pure state machine applied from the log."""
 
     def __init__(self):
         self.permits: dict[str, Permit] = {}
@@ -34,12 +34,12 @@
         Parameters
         ----------
         request : AcquirePermit
-            Who wants to switch to what.
+            Target that asks, and the version to switch to.
         index : int
-            Log index of the request: it becomes the fencing number, so a later
-            permit always has a higher one, over all terms.
+            Log index of the request. It becomes the fencing number, so a later
+            permit always has a higher one, across all terms.
         max_unavailable : int
-            Most targets of one service and failure domain that may be out.
+            Maximum number of unavailable targets per service and failure domain.
 
         Returns
         -------
@@ -47,10 +47,10 @@
             OK with the fencing number, or PERMIT_DENIED.
         """
         counted = request.serving or self.is_unavailable(request)
-        # Load: a new version reaches all targets of a service at once. Harm
-        # prevented: more of them out together than the owner allowed. A target
-        # that failed in its switch keeps its place: a version that no engine
-        # loads then stops at max_unavailable targets.
+        # A new version reaches all targets of a service at once, and without a limit
+        # more of them would be out together than the owner allows. A target that
+        # failed during its switch stays counted, so a version that no engine can
+        # load stops at max_unavailable targets.
         if request.serving and self.count_unavailable(request) >= max_unavailable:
             return PermitResult(ResultCode.PERMIT_DENIED)
         self.permits[request.target] = Permit(
@@ -64,7 +64,7 @@
         return PermitResult(ResultCode.OK, index)
 
     def is_unavailable(self, request: AcquirePermit) -> bool:
-        """Tell whether this target left service under its standing permit."""
+        """Return whether this target left service under its current permit."""
         permit = self.permits.get(request.target)
         return (
             permit is not None
@@ -73,7 +73,7 @@
         )
 
     def count_unavailable(self, request: AcquirePermit) -> int:
-        """Count other targets that are out in the same failure domain."""
+        """Count the other unavailable targets in the same failure domain."""
         return sum(
             permit.counted
             and permit.service == request.service
@@ -83,12 +83,12 @@
         )
 
     def release(self, target: str, fencing: int = 0) -> PermitResult:
-        """Drop a target's permit; one that has none is fine.
+        """Remove a target's permit, if it has one.
 
         Returns
         -------
         PermitResult
-            PERMIT_DENIED when `fencing` names another permit.
+            PERMIT_DENIED when `fencing` belongs to another permit.
         """
         permit = self.permits.get(target)
         if permit is not None and fencing not in (0, permit.fencing):
@@ -100,10 +100,10 @@
 class PermitSweeper:
     """Finds permits whose target is gone, for the leader to release.
 
-    A target that died in its switch counts as unavailable until its member
-    lease ended. A new leader starts with an empty memory: it waits a whole
-    `lease_ms` before it calls a target gone, since its own view of the members
-    may still be filling.
+    A target that died during its switch counts as unavailable until its member lease
+    has ended. A new leader starts without a record of missing targets: it waits a
+    whole `lease_ms` before it treats a target as gone, since its own view of the
+    members may still be incomplete.
 
     Parameters
     ----------
@@ -116,7 +116,7 @@
         self.missing: dict[str, float] = {}
 
     def reset(self) -> None:
-        """Forget what was seen: this instance does not lead."""
+        """Clear the record of missing targets, since this instance does not lead."""
         self.missing.clear()
 
     def sweep(
--- a/src/wisteriapulley/control/rate_owner.py
+++ b/src/wisteriapulley/control/rate_owner.py
@@ -1,8 +1,9 @@
-"""Lets requests pass to plain targets that state a rate, from all entries together.
+"""Enforces the advertised rates of plain targets across all entries.
 
-An engine's sidecar sees all that goes to it; a plain target has none. So one control
-instance holds each plain target's limit, and an entry that knows of a rate asks for
-each request through the instance that it follows.
+An engine's sidecar sees all requests to the engine; a plain target has no sidecar. So
+one control instance owns the rate limit of each plain target, and an entry that knows
+of an advertised rate requests a permit for each request through the instance that it
+follows.
 """
 
 import asyncio
@@ -17,18 +18,17 @@
 
 log = logging.getLogger(__name__)
 
-# Of a stated rate that one holder lets pass. While instances are cut off from each
-# other there may be a holder on either side: both together stay within one and a
-# half times the rate.
+# Fraction of an advertised rate that one owner grants. During a partition there may be
+# an owner on either side: together they stay within one and a half times the rate.
 GRANTED_FRACTION = 0.75
-# A holder that runs answers within a round trip between regions.
+# A running owner responds within a round trip between regions.
 FORWARD_TIMEOUT_S = 0.1
-# When to ask again after the holder gave no answer: it is another one, or back.
+# Retry delay if the owner did not respond: by then there is another, or it is back.
 OWNER_LOST_RETRY_MS = 500
 
 
 class RateOwner:
-    """The limits that one control instance holds, and the way to the others.
+    """Rate limits that this control instance owns, and access to the other owners.
 
     Parameters
     ----------
@@ -44,20 +44,20 @@
         self.limits = RateLimits(GRANTED_FRACTION)
 
     def owner_link(self, target: str) -> Link | None:
-        """Return the link to a target's holder; None where this instance is it."""
+        """Return the link to a target's rate owner; None if this instance owns it."""
         links = self.peers()
-        holder = max((self.own, *links), key=lambda name: rendezvous(target, name))
-        return links.get(holder)
+        owner = max((self.own, *links), key=lambda name: rendezvous(target, name))
+        return links.get(owner)
 
     async def answer(self, query: PassageQuery, from_entry: bool) -> Passage:
-        """Tell whether a request may pass to a target now.
+        """Return whether a request may be sent to a target now.
 
         Parameters
         ----------
         query : PassageQuery
-            The target, and what the entry knows of its rate.
+            The target, and the rate that the entry has recorded for it.
         from_entry : bool
-            Whether another instance may hold the limit.
+            Whether to forward the query if another instance owns the limit.
         """
         link = self.owner_link(query.target) if from_entry else None
         if link is None:
@@ -65,12 +65,12 @@
         try:
             frame = await link.request(query, FORWARD_TIMEOUT_S)
         except WisteriapulleyError as error:
-            log.info("no passage from %s: %s", link.peer_id, error)
+            log.info("no rate permit from %s: %s", link.peer_id, error)
             return Passage(False, OWNER_LOST_RETRY_MS, True)
         return frame.message
 
     def decide(self, query: PassageQuery) -> Passage:
-        """Let a request pass, or say when one may."""
+        """Grant a rate permit, or return the delay until one is available."""
         now_s = asyncio.get_running_loop().time()
         self.record_rate(query, now_s)
         if self.limits.take(query.target, now_s):
@@ -79,7 +79,7 @@
         return Passage(False, int(wait_s * 1000) + 1, True)
 
     def receive_rate(self, update: TargetRate, from_entry: bool) -> None:
-        """Take in a target's word, or pass it on to the holder."""
+        """Record a target's advertised rate, or forward it to the rate owner."""
         link = self.owner_link(update.target) if from_entry else None
         if link is not None:
             link.post(update)
@@ -87,10 +87,10 @@
         self.record_rate(update, asyncio.get_running_loop().time())
 
     def record_rate(self, message: TargetRate | PassageQuery, now_s: float) -> None:
-        """Take in what an entry knows of a target's rate."""
-        heard_s = now_s - message.age_ms / 1000
-        self.limits.hear(message.target, message.per_s or None, heard_s)
+        """Record the rate that an entry received from a target."""
+        observed_s = now_s - message.age_ms / 1000
+        self.limits.hear(message.target, message.per_s or None, observed_s)
 
     def sweep(self) -> None:
-        """Forget targets that are long gone."""
+        """Drop the limits of targets that are long gone."""
         self.limits.sweep(asyncio.get_running_loop().time())
--- a/src/wisteriapulley/control/state.py
+++ b/src/wisteriapulley/control/state.py
@@ -1,4 +1,4 @@
-"""What the replicated log drives: catalogue, routing, claims and permits."""
+"""State machine of the replicated log: catalogue, routing, claims and permits."""
 
 from functools import singledispatchmethod
 
@@ -27,7 +27,7 @@
 
 
 class StateImage(msgspec.Struct, frozen=True):
-    """Whole replicated state, as a snapshot holds it."""
+    """Complete replicated state, as stored in a snapshot."""
 
     index: int
     catalogue: CatalogueImage
@@ -56,7 +56,7 @@
         return self.run(COMMAND_DECODER.decode(data))
 
     def snapshot(self) -> bytes:
-        """Encode the whole state for a snapshot."""
+        """Encode the complete state for a snapshot."""
         image = StateImage(
             self.index,
             self.catalogue.image(),
@@ -70,7 +70,7 @@
         return msgspec.msgpack.encode(image)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot's."""
+        """Replace the complete state with that of a snapshot."""
         image = msgspec.msgpack.decode(data, type=StateImage)
         self.index = image.index
         self.catalogue.revision = image.catalogue.revision
@@ -83,8 +83,8 @@
 
     @singledispatchmethod
     def run(self, command: Command) -> Result:
-        """Run a command, by its kind."""
-        raise TypeError(f"no command: {command!r}")
+        """Run a command, by its type."""
+        raise TypeError(f"unknown command: {command!r}")
 
     @run.register
     def run_change(self, command: ChangeCatalogue) -> ChangeResult:
@@ -131,7 +131,7 @@
 
 
 def stamp(command: Command, now_ms: int) -> Command:
-    """Put the leader's time on commands that carry one."""
+    """Return a command with the leader's time, if it has a field for it."""
     if isinstance(command, PutClaim):
         return msgspec.structs.replace(command, now_ms=now_ms)
     return command
--- a/src/wisteriapulley/control/targets.py
+++ b/src/wisteriapulley/control/targets.py
@@ -1,8 +1,8 @@
-"""Targets that announce themselves to control instances; pure soft state.
+"""Targets that announce themselves to control instances. Pure, soft state.
 
-Each control instance keeps what it heard itself and what its peers passed on.
-News of one target are ordered by its start and its own sequence, so it does not
-matter which instance heard which, nor in which order they arrive.
+Each control instance keeps the announcements that it received itself and those that
+its peers forwarded. The announcements of a target are ordered by its incarnation and
+its own sequence, so neither their route nor the order of arrival matters.
 """
 
 from collections.abc import Iterable, Iterator
@@ -11,38 +11,38 @@
 
 from wisteriapulley.wire.messages import TargetBeat, TargetState
 
-# A target that left stays known as gone for so long: its late announcements
-# must not bring it back. Longer than a delayed heartbeat is seen to take.
+# A target that ended is remembered as gone for this long, so that its late
+# announcements do not bring it back. Longer than the delay of any heartbeat seen.
 GONE_RETENTION_MS = 60_000.0
-# For so long after its end others are reminded of it, should they have missed it.
+# For this long the end of a target is repeated, for those that missed the message.
 GONE_REPEAT_MS = 5000.0
 
 
 class Change(IntEnum):
-    """What news of a target say that was not known."""
+    """What an announcement changes in the recorded state of a target."""
 
     NONE = 0
-    # Its weights or its slots.
+    # The version of its weights or its slots.
     STATE = 1
-    # It came, leaves, ended, or started again.
+    # It joined, is leaving, ended, or restarted.
     MEMBERSHIP = 2
 
 
 class TargetRecord(NamedTuple):
-    """News of a target.
+    """Recorded state of a target.
 
     Attributes
     ----------
     state : TargetState
-        The newest.
-    at_ms : float
-        When it was heard, on the monotonic clock.
-    learned_ms : float
-        When this instance learned that.
-    sequence : int
-        Of the news with which anything but the time last changed.
+        Newest announcement.
+    observed_ms : float
+        When the target was last observed, on the monotonic clock.
+    updated_ms : float
+        When this instance received that observation.
+    change_sequence : int
+        Sequence of the last announcement that changed more than the time.
     direct : bool
-        Whether it announced itself here, not at another instance.
+        Whether the target announced itself here, not at another instance.
     """
 
     state: TargetState
@@ -53,12 +53,12 @@
 
 
 class TargetTable:
-    """The newest news of each target.
+    """Newest announcement of each target.
 
     Parameters
     ----------
     lease_ms : int
-        How long a target stays without news.
+        How long a target is kept without an announcement or heartbeat.
     """
 
     def __init__(self, lease_ms: int):
@@ -66,69 +66,72 @@
         self.records: dict[str, TargetRecord] = {}
 
     def update(self, state: TargetState, now_ms: float, direct: bool = True) -> Change:
-        """Take news in; tell what they change beside the time.
+        """Record an announcement; return what it changes besides the time.
 
         Parameters
         ----------
         state : TargetState
-            The news.
+            The announcement.
         now_ms : float
-            The monotonic clock.
+            Time of the monotonic clock.
         direct : bool
             Whether the target announced itself here.
         """
-        heard = self.records.get(state.target_id)
-        at_ms = now_ms - state.age_ms
-        if heard is None:
-            new = TargetRecord(state, at_ms, now_ms, state.sequence, direct)
+        record = self.records.get(state.target_id)
+        observed_ms = now_ms - state.age_ms
+        if record is None:
+            new = TargetRecord(state, observed_ms, now_ms, state.sequence, direct)
             self.records[state.target_id] = new
             return Change.MEMBERSHIP
-        known = heard.state
+        known = record.state
         if not is_newer(state, known):
             return Change.NONE
         state = merge(state, known)
         change = change_between(known, state)
-        sequence = state.sequence if change else heard.change_sequence
-        new = TargetRecord(state, at_ms, now_ms, sequence, direct)
+        sequence = state.sequence if change else record.change_sequence
+        new = TargetRecord(state, observed_ms, now_ms, sequence, direct)
         self.records[state.target_id] = new
         return change
 
-    def record_heartbeat(self, beat: TargetBeat, now_ms: float) -> bool:
-        """Take in that another instance heard a target; tell if its news are known."""
-        heard = self.records.get(beat.target_id)
-        if heard is None or not includes(heard.state, beat):
+    def record_heartbeat(self, heartbeat: TargetBeat, now_ms: float) -> bool:
+        """Record a heartbeat that another instance observed.
+
+        Return whether the announcement behind it is known here.
+        """
+        record = self.records.get(heartbeat.target_id)
+        if record is None or not includes(record.state, heartbeat):
             return False
-        at_ms = now_ms - beat.age_ms
-        if at_ms > heard.observed_ms and not heard.state.gone:
-            self.records[beat.target_id] = heard._replace(
-                observed_ms=at_ms, updated_ms=now_ms, direct=False
+        observed_ms = now_ms - heartbeat.age_ms
+        if observed_ms > record.observed_ms and not record.state.gone:
+            self.records[heartbeat.target_id] = record._replace(
+                observed_ms=observed_ms, updated_ms=now_ms, direct=False
             )
         return True
 
     def heartbeats(
         self, now_ms: float, since_ms: float, direct_only: bool = False
     ) -> Iterator[TargetBeat]:
-        """Yield a beat of each target that was heard after `since_ms`.
+        """Yield a heartbeat of each target that was observed after `since_ms`.
 
         Parameters
         ----------
         now_ms : float
-            The monotonic clock.
+            Time of the monotonic clock.
         since_ms : float
-            When this was last asked.
+            Time of the previous call.
         direct_only : bool
-            Leave out what other instances told: they tell each other themselves.
+            Leave out what other instances forwarded: they send it to each other.
         """
-        for heard in self.records.values():
-            reminds = heard.state.gone and now_ms - heard.observed_ms < GONE_REPEAT_MS
-            if heard.updated_ms <= since_ms and not reminds:
+        for record in self.records.values():
+            repeats = record.state.gone and now_ms - record.observed_ms < GONE_REPEAT_MS
+            if record.updated_ms <= since_ms and not repeats:
                 continue
-            if direct_only and not heard.direct:
+            if direct_only and not record.direct:
                 continue
-            yield heartbeat_of(heard, now_ms)
+            yield heartbeat_of(record, now_ms)
 
     def mark_gone(self, target_id: str, now_ms: float) -> TargetState:
-        """Note that a target leaves for good; return the news of it."""
+        """Record that a target has left for good; return its state."""
         known = self.records.get(target_id)
         state = known.state if known is not None else TargetState(target_id)
         state = state._replace(gone=True, leaving=True, age_ms=0)
@@ -138,25 +141,25 @@
         return state
 
     def sweep(self, now_ms: float) -> None:
-        """Forget targets that were not heard for too long."""
-        for target_id, heard in tuple(self.records.items()):
-            kept_ms = GONE_RETENTION_MS if heard.state.gone else self.lease_ms
-            if now_ms - heard.observed_ms > kept_ms:
+        """Drop targets that were not observed for too long."""
+        for target_id, record in tuple(self.records.items()):
+            kept_ms = GONE_RETENTION_MS if record.state.gone else self.lease_ms
+            if now_ms - record.observed_ms > kept_ms:
                 del self.records[target_id]
 
     def states(
         self, now_ms: float, target_ids: Iterable[str] | None = None
     ) -> Iterator[TargetState]:
-        """Yield what is known of some targets, or of all, with its age."""
+        """Yield the recorded state of some targets, or of all, with its age."""
         for target_id in self.records if target_ids is None else target_ids:
-            heard = self.records.get(target_id)
-            if heard is not None:
-                age_ms = max(0, int(now_ms - heard.observed_ms))
-                yield heard.state._replace(age_ms=age_ms)
+            record = self.records.get(target_id)
+            if record is not None:
+                age_ms = max(0, int(now_ms - record.observed_ms))
+                yield record.state._replace(age_ms=age_ms)
 
 
 def heartbeat_of(record: TargetRecord, now_ms: float) -> TargetBeat:
-    """Say that a target was heard, and by which news it is known."""
+    """Return the heartbeat of a target, with the sequence of its last change."""
     state = record.state
     age_ms = max(0, int(now_ms - record.observed_ms))
     return TargetBeat(
@@ -164,22 +167,22 @@
     )
 
 
-def includes(known: TargetState, beat: TargetBeat) -> bool:
-    """Tell whether what is known of a target includes the news behind a beat."""
-    if known.started_ms != beat.started_ms:
-        return known.started_ms > beat.started_ms
-    if known.gone or beat.gone:
+def includes(known: TargetState, heartbeat: TargetBeat) -> bool:
+    """Return whether a recorded state includes the announcement behind a heartbeat."""
+    if known.started_ms != heartbeat.started_ms:
+        return known.started_ms > heartbeat.started_ms
+    if known.gone or heartbeat.gone:
         return known.gone
-    return known.sequence >= beat.sequence
+    return known.sequence >= heartbeat.sequence
 
 
 def is_newer(state: TargetState, known: TargetState) -> bool:
-    """Tell whether news of a target are newer than what is known of it.
+    """Return whether an announcement is newer than the recorded state.
 
-    A later start counts more than anything that was said before it: a target that
-    was leaving or gone is back, and its sequence begins anew. News of one start
-    that name another service or address are not the target's own. The word that a
-    target is gone names no start, and means the one that is known.
+    A later incarnation supersedes everything before it: a target that was leaving or
+    gone is back, and its sequence starts anew. An announcement of the same incarnation
+    with another service or address is not the target's own. A message that a target
+    is gone has no incarnation, and refers to the recorded one.
     """
     if state.gone and not state.started_ms:
         return not known.gone
@@ -191,7 +194,7 @@
 
 
 def merge(state: TargetState, known: TargetState) -> TargetState:
-    """Join newer news of a target with what is known of it."""
+    """Merge a newer announcement of a target with its recorded state."""
     if state.gone and not state.started_ms:
         return known._replace(gone=True, leaving=True, age_ms=state.age_ms)
     if state.started_ms != known.started_ms:
@@ -200,14 +203,14 @@
 
 
 def is_same_endpoint(state: TargetState, known: TargetState) -> bool:
-    """Tell whether news name the service and address that are known, or none."""
+    """Return whether service and address match the recorded ones or are missing."""
     if not state.address or not known.address:
         return True
     return (state.service, state.address) == (known.service, known.address)
 
 
 def change_between(known: TargetState, state: TargetState) -> Change:
-    """Tell what a target says but that it still runs."""
+    """Return the kind of change between two states of a target."""
     if membership(state) != membership(known):
         return Change.MEMBERSHIP
     if (state.slots, state.version) != (known.slots, known.version):
@@ -216,7 +219,7 @@
 
 
 def membership(state: TargetState) -> tuple[object, ...]:
-    """Return what makes a target a member of its service."""
+    """Return the fields that define a target's membership in its service."""
     return (
         state.started_ms,
         state.service,
