--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -18,7 +18,7 @@
 
 
 class CountingFiles(Files):
-    """Counts syncs, and fails on demand."""
+    """Counts syncs, and fails them on demand."""
 
     def __init__(self):
         self.syncs = 0
@@ -31,8 +31,8 @@
         super().fsync(descriptor)
 
 
-class Alone:
-    """A driver of a cluster of one, in this process."""
+class SingleNode:
+    """A driver of a cluster with one member, in this process."""
 
     def __init__(self, folder, monkeypatch, **more):
         self.settings = ControlSettings(
@@ -68,8 +68,8 @@
             await asyncio.sleep(0.01)
         return driver
 
-    async def noted(self):
-        """Wait until the disk's note says that all that is applied is committed."""
+    async def wait_commit_index_saved(self):
+        """Wait until the commit index on the disk covers all that is applied."""
         while self.driver.storage.committed < self.driver.replica.applied_index:
             await asyncio.sleep(0.01)
 
@@ -83,14 +83,14 @@
 
 
 @pytest.fixture
-def alone(tmp_path, monkeypatch):
-    alone = Alone(tmp_path, monkeypatch)
-    init_folder(alone.settings)
-    return alone
+def node(tmp_path, monkeypatch):
+    node = SingleNode(tmp_path, monkeypatch)
+    init_folder(node.settings)
+    return node
 
 
 class FullDisk(CountingFiles):
-    """Takes some bytes of a write and no more, as long as it is full."""
+    """While full, accepts a few bytes of a write and then fails."""
 
     def __init__(self):
         super().__init__()
@@ -112,92 +112,92 @@
 
 
 class TestFullDisk:
-    """Load: a disk that refuses every write for some seconds, under changes."""
+    """The disk refuses every write for some seconds while commands are proposed."""
 
     @pytest.fixture
-    def alone(self, alone, monkeypatch):
+    def node(self, node, monkeypatch):
         monkeypatch.setattr(driver_module, "DISK_RETRY_MS", 20.0)
         monkeypatch.setattr(driver_module, "PROPOSE_TIMEOUT_S", 0.3)
-        alone.files = files = FullDisk()
+        node.files = files = FullDisk()
         monkeypatch.setattr(
             driver_module.Storage,
             "open",
             classmethod(lambda cls, folder, others: real_open(folder, files)),
         )
-        return alone
+        return node
 
-    async def refused(self, driver, number):
+    async def assert_refused(self, driver, number):
         with pytest.raises(WisteriapulleyError) as caught:
             await driver.propose(command(number))
         assert caught.value.code == ResultCode.NO_QUORUM
 
-    def test_stays_without_a_vote_and_takes_part_again(self, alone):
+    def test_gives_up_its_vote_and_rejoins(self, node):
         async def run():
-            driver = await alone.start()
+            driver = await node.start()
             await driver.propose(command(1))
-            alone.files.full = True
-            await self.refused(driver, 2)
+            node.files.full = True
+            await self.assert_refused(driver, 2)
             assert driver.suspended and driver.own_lease() is None
-            await self.refused(driver, 3)
-            known = len(alone.state.claims.claims)
-            alone.files.full = False
+            await self.assert_refused(driver, 3)
+            applied = len(node.state.claims.claims)
+            node.files.full = False
             while driver.own_lease() is None:
                 await asyncio.sleep(0.01)
             await driver.propose(command(4))
             await driver.stop()
-            return known
+            return applied
 
         assert asyncio.run(run()) == 1
-        assert alone.fatal == []
-        assert len(alone.state.claims.claims) == 2
+        assert node.fatal == []
+        assert len(node.state.claims.claims) == 2
 
-    def test_nothing_acknowledged_is_lost(self, alone):
+    def test_no_acknowledged_command_is_lost(self, node):
         async def run():
-            driver = await alone.start()
+            driver = await node.start()
             for number in range(3):
                 await driver.propose(command(number))
-                alone.files.full = True
-                await self.refused(driver, 100 + number)
-                alone.files.full = False
+                node.files.full = True
+                await self.assert_refused(driver, 100 + number)
+                node.files.full = False
                 while driver.own_lease() is None:
                     await asyncio.sleep(0.01)
             await driver.stop()
 
         asyncio.run(run())
-        driver = alone.open()
+        driver = node.open()
         driver.replica.commit_index = driver.replica.last_index
         driver.apply_committed()
-        held = {key.key for key in alone.state.claims.claims}
+        held = {key.key for key in node.state.claims.claims}
         assert {f"letter-{number}" for number in range(3)} <= held
         asyncio.run(driver.stop())
 
-    def test_start_on_a_full_disk_knows_what_was_committed(self, alone):
+    def test_start_on_a_full_disk_restores_what_was_committed(self, node):
         async def run():
-            driver = await alone.start()
+            driver = await node.start()
             await driver.propose(command(1))
-            await alone.noted()
-            alone.files.full = True
-            await self.refused(driver, 2)
+            await node.wait_commit_index_saved()
+            node.files.full = True
+            await self.assert_refused(driver, 2)
             await driver.stop()
-            driver = alone.open()
+            driver = node.open()
             driver.start()
             await asyncio.sleep(0.1)
             assert driver.suspended and driver.own_lease() is None
-            known = len(alone.state.claims.claims)
-            alone.files.full = False
+            applied = len(node.state.claims.claims)
+            node.files.full = False
             while driver.own_lease() is None:
                 await asyncio.sleep(0.01)
             await driver.stop()
-            return known
+            return applied
 
         assert asyncio.run(run()) == 1
-        assert alone.fatal == []
+        assert node.fatal == []
 
-    def test_takes_no_message_meanwhile(self, alone):
+    def test_ignores_messages_while_the_disk_is_full(self, node):
         async def run():
-            driver = await alone.start()
-            alone.files.full = True
-            await self.refused(driver, 1)
+            driver = await node.start()
+            node.files.full = True
+            await self.assert_refused(driver, 1)
             term = driver.replica.term
             driver.receive(VoteRequest(term + 5, "b", 99, term + 4))
             await asyncio.sleep(0.05)
@@ -209,45 +209,47 @@
 
 
 class TestDriver:
-    def test_founder_of_an_empty_folder_only(self, alone):
+    def test_only_an_empty_folder_can_be_initialized(self, node):
         with pytest.raises(StorageError) as caught:
-            init_folder(alone.settings)
+            init_folder(node.settings)
         assert caught.value.code == ResultCode.IDENTITY_MISMATCH
         with pytest.raises(StorageError):
-            join_folder(alone.settings)
+            join_folder(node.settings)
 
-    def syncs_of_fifty(self, alone):
-        """Propose fifty commands in one turn; return how many syncs they took."""
+    def syncs_of_fifty(self, node):
+        """Propose fifty commands concurrently; return how many syncs they took."""
 
         async def run():
-            driver = await alone.start()
-            alone.files.syncs = 0
+            driver = await node.start()
+            node.files.syncs = 0
             await asyncio.gather(*(driver.propose(command(i)) for i in range(50)))
             await driver.stop()
 
         asyncio.run(run())
-        return alone.files.syncs
+        return node.files.syncs
 
-    def test_proposals_of_one_turn_share_a_sync(self, alone):
-        assert self.syncs_of_fifty(alone) == 1
+    def test_concurrent_proposals_share_a_sync(self, node):
+        assert self.syncs_of_fifty(node) == 1
 
-    def test_without_group_commit_each_record_has_its_sync(self, tmp_path, monkeypatch):
-        alone = Alone(tmp_path, monkeypatch, group_commit=False)
-        init_folder(alone.settings)
-        assert self.syncs_of_fifty(alone) == 50
+    def test_without_group_commit_each_record_has_its_own_sync(
+        self, tmp_path, monkeypatch
+    ):
+        node = SingleNode(tmp_path, monkeypatch, group_commit=False)
+        init_folder(node.settings)
+        assert self.syncs_of_fifty(node) == 50
 
     @pytest.mark.parametrize(
         ("number", "code"),
         [(errno.ENOSPC, ResultCode.DISK_FULL), (errno.EIO, ResultCode.FSYNC_FAILED)],
     )
-    def test_failing_disk_stops_it_and_nothing_is_acknowledged(
-        self, alone, monkeypatch, number, code
+    def test_failing_disk_stops_the_driver_and_nothing_is_acknowledged(
+        self, node, monkeypatch, number, code
     ):
         monkeypatch.setattr(driver_module, "PROPOSE_TIMEOUT_S", 0.2)
 
         async def run():
-            driver = await alone.start()
-            alone.files.failure = number
+            driver = await node.start()
+            node.files.failure = number
             for attempt in range(2):
                 with pytest.raises(WisteriapulleyError) as caught:
                     await driver.propose(command(attempt))
@@ -256,17 +258,15 @@
             await driver.stop()
 
         asyncio.run(run())
-        assert [error.code for error in alone.fatal] == [code]
+        assert [error.code for error in node.fatal] == [code]
 
-    def test_note_of_a_commit_is_not_left_to_the_next_idle_tick(
-        self, alone, monkeypatch
-    ):
-        """An instance that is killed after a tenth of a second has its note."""
+    def test_commit_index_is_saved_before_the_next_idle_tick(self, node, monkeypatch):
+        """An instance killed 0.1 s after a commit has saved the commit index."""
         monkeypatch.setattr(driver_module, "MAX_TICK_S", 30.0)
         monkeypatch.setattr(driver_module, "steady_ms", lambda: 1000.0)
 
         async def run():
-            driver = alone.open()
+            driver = node.open()
             driver.replica.election_at_ms = 9000.0
             assert driver.tick_delay_s() == 8.0
             driver.replica.applied_index = driver.storage.committed + 1
@@ -277,27 +277,27 @@
 
         assert asyncio.run(run()) == driver_module.COMMIT_SAVE_INTERVAL_MS / 1000
 
-    def test_record_of_a_stopped_instance_is_known_at_its_start(self, alone):
+    def test_committed_record_is_applied_after_a_restart(self, node):
         async def run():
-            driver = await alone.start()
+            driver = await node.start()
             await driver.propose(command(1))
-            await alone.noted()
+            await node.wait_commit_index_saved()
             await driver.stop()
 
         asyncio.run(run())
-        driver = alone.open()
+        driver = node.open()
         assert not driver.replica.is_leader
         assert len(driver.apply_committed()) >= 2
-        assert len(alone.state.claims.claims) == 1
+        assert len(node.state.claims.claims) == 1
         asyncio.run(driver.stop())
 
-    def test_restart_from_snapshot_and_tail(self, tmp_path, monkeypatch):
-        alone = Alone(tmp_path, monkeypatch, snapshot_bytes=4000)
-        init_folder(alone.settings)
+    def test_restart_from_snapshot_and_log(self, tmp_path, monkeypatch):
+        node = SingleNode(tmp_path, monkeypatch, snapshot_bytes=4000)
+        init_folder(node.settings)
 
         async def run(first, last):
-            driver = await alone.start()
-            before = len(alone.state.claims.claims)
+            driver = await node.start()
+            before = len(node.state.claims.claims)
             for number in range(first, last):
                 await driver.propose(command(number))
             await driver.stop()
@@ -306,22 +306,22 @@
         asyncio.run(run(0, 800))
         assert (tmp_path / "snapshot").exists()
         assert asyncio.run(run(800, 801)) == 800
-        driver = alone.open()
+        driver = node.open()
         assert driver.storage.snapshot.last_index > 400
         assert driver.replica.log.base_index > 0
-        assert 400 < len(alone.state.claims.claims) <= 801
+        assert 400 < len(node.state.claims.claims) <= 801
         asyncio.run(driver.stop())
 
-    def test_folder_of_another_instance_is_refused(self, alone, monkeypatch):
-        alone.settings = ControlSettings(
+    def test_folder_of_another_instance_is_rejected(self, node, monkeypatch):
+        node.settings = ControlSettings(
             **{
                 **{
-                    f: getattr(alone.settings, f)
-                    for f in alone.settings.__struct_fields__
+                    f: getattr(node.settings, f)
+                    for f in node.settings.__struct_fields__
                 },
                 "node_id": "b",
             }
         )
         with pytest.raises(StorageError) as caught:
-            alone.open()
+            node.open()
         assert caught.value.code == ResultCode.IDENTITY_MISMATCH
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""An entry or sidecar that follows control instances over real links."""
+"""A follower of control instances over real links."""
 
 import asyncio
 
@@ -16,11 +16,11 @@
 
 KEY = b"k" * 40
 REGIONS = {"near": "n", "far": "f"}
-PATIENCE_S = 20.0
+TEST_TIMEOUT_S = 20.0
 
 
 class FakeControl:
-    """A control instance that answers a follower, and may seem cut off."""
+    """A control instance that responds to a follower, and can report to be isolated."""
 
     def __init__(self, host, domain, port):
         self.host, self.port = host, port
@@ -48,7 +48,7 @@
 
 
 class Fleet:
-    """Four instances: the seed is far away, as is one other; two are near."""
+    """Four instances: two in the far region, one of them the seed, and two near."""
 
     def __init__(self):
         port = free_port()
@@ -56,9 +56,9 @@
         self.instances = {
             host: FakeControl(host, domain, port) for host, domain in hosts.items()
         }
-        news = messages.ControlNews(tuple(hosts), tuple(hosts.values()))
+        update = messages.ControlNews(tuple(hosts), tuple(hosts.values()))
         for instance in self.instances.values():
-            instance.instances = news
+            instance.instances = update
         seed = Address("127.0.0.2", port)
         settings = DirectSettings(
             node_id="entry-1",
@@ -79,15 +79,15 @@
     def followed(self):
         return {host for host, c in self.instances.items() if c.is_followed}
 
-    async def until(self, hosts):
-        """Wait until just these hosts are followed."""
-        async with asyncio.timeout(PATIENCE_S):
+    async def wait_until_followed(self, hosts):
+        """Wait until exactly these hosts are followed."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while self.followed() != hosts:
                 await asyncio.sleep(0.01)
 
 
 @pytest.fixture(autouse=True)
-def short_times(monkeypatch):
+def short_timeouts(monkeypatch):
     monkeypatch.setattr(following, "CHOOSE_INTERVAL_S", 0.02)
     monkeypatch.setattr(following, "FIRST_RESPONSE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(following, "UNRESPONSIVE_AFTER_S", 0.3)
@@ -96,14 +96,14 @@
 NEAR = {"127.0.0.4", "127.0.0.5"}
 
 
-def play(scenario):
+def run_scenario(scenario):
     async def run():
         fleet = Fleet()
         for instance in fleet.instances.values():
             await instance.start()
         fleet.follower.start()
         try:
-            await fleet.until(NEAR)
+            await fleet.wait_until_followed(NEAR)
             await scenario(fleet)
         finally:
             await fleet.follower.stop()
@@ -114,45 +114,45 @@
 
 
 class TestControlFollower:
-    def test_seed_is_left_for_nearer_instances(self):
+    def test_nearer_instances_replace_the_seed(self):
         async def scenario(fleet):
             assert fleet.follower.fresh
             assert set(fleet.follower.followed) == NEAR
 
-        play(scenario)
+        run_scenario(scenario)
 
-    def test_next_instance_takes_the_place_of_one_that_is_gone(self):
+    def test_next_instance_replaces_one_that_stopped(self):
         async def scenario(fleet):
             await fleet.instances["127.0.0.4"].server.stop()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while len(fleet.followed()) < 2:
                     await asyncio.sleep(0.01)
             assert "127.0.0.5" in fleet.followed()
             await fleet.instances["127.0.0.4"].start()
-            await fleet.until(NEAR)
+            await fleet.wait_until_followed(NEAR)
 
-        play(scenario)
+        run_scenario(scenario)
 
-    def test_instances_that_are_cut_off_are_no_use_alone(self):
-        """Two near ones on the small side of a cut would tell nothing new."""
+    def test_isolated_instances_are_not_followed_alone(self):
+        """Two near instances on the minority side of a partition have no new state."""
 
         async def scenario(fleet):
             for host in NEAR:
                 fleet.instances[host].isolated = True
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not {"127.0.0.2", "127.0.0.3"} <= fleet.followed():
                     await asyncio.sleep(0.01)
             for host in NEAR:
                 fleet.instances[host].isolated = False
             fleet.follower.avoided_until_s = dict.fromkeys(NEAR, steady_s())
-            await fleet.until(NEAR)
+            await fleet.wait_until_followed(NEAR)
 
-        play(scenario)
+        run_scenario(scenario)
 
-    def test_links_end_with_the_follower(self):
+    def test_stop_closes_all_links(self):
         async def scenario(fleet):
             await fleet.follower.stop()
             assert fleet.follower.followed == {}
-            await fleet.until(set())
+            await fleet.wait_until_followed(set())
 
-        play(scenario)
+        run_scenario(scenario)
--- a/tests/test_nearest.py
+++ b/tests/test_nearest.py
@@ -1,4 +1,4 @@
-"""Which control instances a follower hears."""
+"""Order and number of the control instances that a follower uses."""
 
 from collections import Counter
 
@@ -38,22 +38,22 @@
         assert max(firsts.values()) <= 2 * min(firsts.values())
 
 
-class TestToFollow:
+class TestInstancesToFollow:
     HOSTS = [f"10.0.0.{n}" for n in range(20)]
 
-    def test_two_that_are_heard(self):
+    def test_first_usable_instances_are_followed(self):
         assert (
             instances_to_follow(self.HOSTS, lambda host: True)
             == self.HOSTS[:FOLLOWED_INSTANCES]
         )
 
-    @pytest.mark.parametrize("silent", range(4))
-    def test_each_silent_one_is_passed_over_and_still_tried(self, silent):
-        away = set(self.HOSTS[:silent])
-        chosen = instances_to_follow(self.HOSTS, lambda host: host not in away)
-        assert chosen == self.HOSTS[: silent + FOLLOWED_INSTANCES]
+    @pytest.mark.parametrize("unresponsive", range(4))
+    def test_unresponsive_instances_are_skipped_but_still_tried(self, unresponsive):
+        down = set(self.HOSTS[:unresponsive])
+        chosen = instances_to_follow(self.HOSTS, lambda host: host not in down)
+        assert chosen == self.HOSTS[: unresponsive + FOLLOWED_INSTANCES]
 
-    def test_loss_of_all_is_no_storm(self):
-        """All followers at once would else open links to all instances."""
+    def test_outage_of_all_instances_causes_no_connection_storm(self):
+        """Without a limit, all followers would connect to all instances at once."""
         chosen = instances_to_follow(self.HOSTS, lambda host: False)
         assert len(chosen) == FOLLOWED_INSTANCES + MAX_UNANSWERED
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.test_rollout import SpoiltSource
+from tests.test_rollout import CorruptingSource
 from wisteriapulley.control import pieces as pieces_module
 from wisteriapulley.control.pieces import PieceServer
 from wisteriapulley.errors import ResultCode, WeightsError
@@ -42,7 +42,7 @@
     """Play a scenario with a server of pieces and its origin."""
 
     async def run():
-        origin = SpoiltSource()
+        origin = CorruptingSource()
         server = PieceServer(SETTINGS, None, lambda: None)
         server.relay = Relay(lambda: [origin])
         await scenario(server, origin)
@@ -65,7 +65,7 @@
         async def scenario(server, origin):
             assert isinstance((await ask_manifest(server))[0], messages.ManifestReply)
             await asyncio.sleep(0.01)
-            assert origin.asked == []
+            assert origin.requested == []
 
         serve(scenario)
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -9,7 +9,7 @@
 
 from tests.fakes.links import WrittenLink
 from tests.test_places import ENGINE, open_places, wish
-from tests.test_slot_admission import Asker, granting_of, reserve
+from tests.test_slot_admission import EntryLink, make_admission, reserve
 from wisteriapulley.control.rate_owner import RateOwner
 from wisteriapulley.direct.limited import LimitedTargets
 from wisteriapulley.direct.registry import Target
@@ -154,25 +154,25 @@
         granted = []
 
         async def run():
-            granting = granting_of(ENGINE)
+            admission = make_admission(ENGINE)
             now = SimpleNamespace(ms=0.0)
-            granting.now_ms = lambda: now.ms
-            links = [Asker() for _ in range(6)]
+            admission.now_ms = lambda: now.ms
+            links = [EntryLink() for _ in range(6)]
             news = TargetRate("", 1.5, 0)
-            await granting.receive(news, links[0], Frame(0, 0, news))
-            assert granting.heartbeat().state == PlacesState.LIMITED.value
+            await admission.receive(news, links[0], Frame(0, 0, news))
+            assert admission.heartbeat().state == PlacesState.LIMITED.value
             for step in range(600):
                 now.ms = step * 20.0
                 link = links[step % 6]
                 number = next(clock)
-                await reserve(granting, link, number, wait_ms=400)
+                await reserve(admission, link, number, wait_ms=400)
                 verdict = link.taken[-1]
                 if verdict.granted:
                     granted.append(now.ms / 1000)
-                    granting.slots.release(f"r{number}", now.ms)
+                    admission.slots.release(f"r{number}", now.ms)
                 else:
                     assert verdict.retry_ms > 0
-            granting.limit_timer.cancel()
+            admission.limit_timer.cancel()
 
         asyncio.run(run())
         assert most_in_window(granted) <= allowed(1.5)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""When engines change versions, and what may serve meanwhile."""
+"""Switch order, desired versions, and download of pieces through a relay."""
 
 import asyncio
 import contextlib
@@ -24,9 +24,9 @@
 
 
 class TestNamedVersions:
-    def test_time_of_an_old_version_runs_from_the_first_newer_one(self):
-        # Load: version 3 is named while version 2 is still copied. Version 1 ends
-        # with the time of version 2, not with that of version 3.
+    def test_superseded_version_expires_from_the_first_newer_one(self):
+        # Version 3 is accepted while version 2 is still downloaded: the time of
+        # version 1 runs from version 2, not from version 3.
         named = NamedVersions()
         named.note("m", 2, 18.0)
         named.note("m", 3, 21.0)
@@ -35,14 +35,14 @@
         assert named.replaced_at("m", 3) is None
         assert named.newest("m") == 3
 
-    def test_earlier_word_counts(self):
+    def test_earliest_time_counts(self):
         named = NamedVersions()
         assert named.note("m", 2, 18.0)
         assert not named.note("m", 2, 17.0)
         assert not named.note("m", 2, 19.0)
         assert named.of("m") == [(2, 17.0)]
 
-    def test_few_are_kept(self):
+    def test_only_the_newest_versions_are_kept(self):
         named = NamedVersions()
         for version in range(1, 50):
             named.note("m", version, float(version))
@@ -54,11 +54,11 @@
         assert NamedVersions().replaced_at("m", 0) is None
 
 
-class TestTurn:
+class TestSwitchOrder:
     def engines(self, counts):
         return [(f"d{d}", f"d{d}:{n}") for d, count in counts for n in range(count)]
 
-    def test_neighbours_are_far_apart(self):
+    def test_engines_of_one_failure_domain_are_far_apart(self):
         engines = self.engines([(0, 3), (1, 3), (2, 3)])
         ranks = sorted(switch_rank(a, engines).rank for d, a in engines if d == "d0")
         assert ranks == [0, 3, 6]
@@ -69,44 +69,45 @@
     def test_unknown_engine_does_not_wait_for_others(self):
         assert switch_rank("x", self.engines([(0, 3)])) == SwitchRank(0, 1)
 
-    def test_changes_are_spread_until_the_old_version_ends(self):
+    def test_switches_are_spread_until_the_old_version_expires(self):
         due = [switch_due_ms(SwitchRank(rank, 5), 4900, 8000) for rank in range(5)]
         assert due[0] == 4900
         assert due[-1] == 8000 - SWITCH_MARGIN_MS
         assert due == sorted(due) and len(set(due)) == 5
 
-    def test_copy_that_takes_longer_than_the_old_version(self):
+    def test_download_that_takes_longer_than_the_old_version_serves(self):
         assert switch_due_ms(SwitchRank(0, 5), 60_000, 8000) == 8000 - SWITCH_MARGIN_MS
 
-    def test_only_the_first_half_finishes_an_overtaken_copy(self):
+    def test_only_the_first_half_finishes_a_superseded_download(self):
         assert finishes_superseded(SwitchRank(1, 10), 0.9, 1.0, 1.0)
         assert not finishes_superseded(SwitchRank(1, 10), 0.1, 1.0, 1.0)
         assert not finishes_superseded(SwitchRank(9, 10), 0.9, 1.0, 1.0)
 
-    def test_copy_goes_on_while_the_newer_version_can_not_be_had(self):
-        # Load: a newer version is named and the origin dies. Whoever began anew
-        # would hold nothing when the time of what it serves ends.
+    def test_download_continues_while_the_newer_version_is_unavailable(self):
+        # A newer version is accepted and the origin fails. An engine that started
+        # over would hold nothing when the version that it serves expires.
         assert finishes_superseded(SwitchRank(9, 10), 0.9, 1.0, 0.1)
         assert finishes_superseded(SwitchRank(9, 10), 0.1, 1.0, 0.1)
         assert not finishes_superseded(SwitchRank(9, 10), 0.0, 1.0, 0.0)
 
-    def test_copy_whose_rest_nobody_fetches_any_more_is_given_up(self):
-        # Load: the origin dies in the middle of the first of two versions. Whoever
-        # waited for its rest would begin the second one only when that is whole.
+    def test_download_that_can_not_complete_is_cancelled(self):
+        # The origin fails during the download of the first of two versions. Control
+        # instances do not fetch its remaining pieces any more, so an engine that
+        # waited for them would start the second version only when it is complete there.
         for rank in (0, 9):
             assert not finishes_superseded(SwitchRank(rank, 10), 0.88, 0.88, 0.1)
 
 
-class SpoiltSource:
-    """Hands out pieces; some come wrong at first."""
+class CorruptingSource:
+    """Serves pieces; the first response for some is corrupted."""
 
     name = key = "origin"
     at_once = IN_FLIGHT
 
-    def __init__(self, wrong=()):
-        self.wrong = set(wrong)
-        self.asked = []
-        self.flying = self.most_flying = 0
+    def __init__(self, corrupted=()):
+        self.corrupted = set(corrupted)
+        self.requested = []
+        self.in_flight = self.max_in_flight = 0
 
     def data(self, position):
         return b"%d" % position * 10
@@ -121,19 +122,19 @@
         return frozenset(range(len(manifest.digests)))
 
     async def piece(self, model, version, position):
-        self.asked.append(position)
-        self.flying += 1
-        self.most_flying = max(self.most_flying, self.flying)
+        self.requested.append(position)
+        self.in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         await asyncio.sleep(0)
-        self.flying -= 1
-        if position in self.wrong:
-            self.wrong.discard(position)
+        self.in_flight -= 1
+        if position in self.corrupted:
+            self.corrupted.discard(position)
             return b"wrong"
         return self.data(position)
 
 
-class AwaySource(SpoiltSource):
-    """An origin that answers nothing for a while."""
+class FailingSource(CorruptingSource):
+    """An origin that fails a number of requests, then serves pieces."""
 
     def __init__(self, failures):
         super().__init__()
@@ -142,12 +143,12 @@
     async def piece(self, model, version, position):
         if self.failures:
             self.failures -= 1
-            raise WeightsError(ResultCode.SOURCE_UNAVAILABLE, "away")
+            raise WeightsError(ResultCode.SOURCE_UNAVAILABLE, "unreachable")
         return await super().piece(model, version, position)
 
 
 class RelaySource:
-    """Another instance's pieces; one that it does not hold soon is timed out."""
+    """Pieces of another instance; a request that it does not serve soon times out."""
 
     name = key = "relay"
     at_once = IN_FLIGHT
@@ -164,21 +165,23 @@
         return await self.relay.manifest(model, version)
 
     async def piece(self, model, version, position):
-        asked = asyncio.ensure_future(self.relay.piece(model, version, position))
+        requested = asyncio.ensure_future(self.relay.piece(model, version, position))
         for _ in range(3):
             await asyncio.sleep(0)
-            if asked.done():
-                return asked.result()
-        asked.add_done_callback(asyncio.Future.exception)
+            if requested.done():
+                return requested.result()
+        requested.add_done_callback(asyncio.Future.exception)
         raise WeightsError(ResultCode.SOURCE_UNAVAILABLE, "no reply in time")
 
 
-class TestOriginThatIsAway:
-    """Load: the origin goes away in the middle of a copy that all wait for."""
+class TestUnreachableOrigin:
+    """The origin becomes unreachable during a download that all instances wait for."""
 
-    def test_only_the_first_instance_asks_it_at_its_return(self, monkeypatch):
+    def test_only_the_first_instance_requests_pieces_from_it_after_recovery(
+        self, monkeypatch
+    ):
         monkeypatch.setattr(relay_module, "RETRY_S", 0)
-        origin, direct = AwaySource(failures=60), SpoiltSource()
+        origin, direct = FailingSource(failures=60), CorruptingSource()
         head = Relay(lambda: [origin])
         others = [Relay(lambda: [RelaySource(head), direct]) for _ in range(5)]
 
@@ -188,14 +191,12 @@
 
         asyncio.run(run())
         assert all(len(relay.pieces) == 40 for relay in others)
-        # Each of five asked the origin itself for a tenth of its pieces at the most.
-        assert len(direct.asked) <= 5 * 4
+        # Each of the five requested at most a tenth of its pieces from the origin.
+        assert len(direct.requested) <= 5 * 4
 
-    def test_it_is_asked_seldom_by_those_that_take_pieces_from_another(
-        self, monkeypatch
-    ):
+    def test_instances_with_another_source_rarely_request_from_it(self, monkeypatch):
         monkeypatch.setattr(relay_module, "SPARING_PAUSE_S", 0.05)
-        origin = AwaySource(failures=10**6)
+        origin = FailingSource(failures=10**6)
 
         async def run():
             relay = Relay(lambda: [origin])
@@ -209,50 +210,50 @@
                     await download.run()
 
         asyncio.run(run())
-        # One question in each pause, and the first.
+        # One request in each pause, and the first.
         assert 1 <= 10**6 - origin.failures <= 0.2 / 0.05 + 1
 
-    def test_goes_on_by_itself_at_its_return(self, monkeypatch):
+    def test_download_continues_after_recovery(self, monkeypatch):
         monkeypatch.setattr(relay_module, "RETRY_S", 0)
         monkeypatch.setattr(relay_module, "RETRY_ALL_S", 0)
         relay = Relay(lambda: [origin])
-        origin = AwaySource(failures=100)
+        origin = FailingSource(failures=100)
         asyncio.run(relay.fetch_all("m", 7))
         assert len(relay.pieces) == 40
 
-    def test_one_that_is_cut_off_from_its_upstream_asks_it(self, monkeypatch):
+    def test_instance_cut_off_from_its_upstream_requests_from_it(self, monkeypatch):
         monkeypatch.setattr(relay_module, "RETRY_S", 0.001)
-        gone = AwaySource(failures=10**6)
-        origin = SpoiltSource()
-        relay = Relay(lambda: [gone, origin])
+        unreachable = FailingSource(failures=10**6)
+        origin = CorruptingSource()
+        relay = Relay(lambda: [unreachable, origin])
         assert asyncio.run(relay.piece("m", 7, 3)) == origin.data(3)
 
 
 class TestRelay:
-    def test_spoilt_piece_is_asked_for_again_before_others(self):
-        # Load: a sidecar waits for a piece that came spoilt; behind all others it
-        # would come a second later.
-        source = SpoiltSource(wrong=(3,))
+    def test_corrupted_piece_is_requested_again_before_others(self):
+        # A sidecar waits for a piece that arrived corrupted; requested after all
+        # others it would arrive a second later.
+        source = CorruptingSource(corrupted=(3,))
         relay = Relay(lambda: [source])
         asyncio.run(relay.fetch_all("m", 7))
-        again = [i for i, position in enumerate(source.asked) if position == 3]
+        again = [i for i, position in enumerate(source.requested) if position == 3]
         assert len(again) == 2
         assert again[1] - again[0] <= 3 * IN_FLIGHT
         assert len(relay.pieces) == 40
-        assert source.most_flying <= IN_FLIGHT
+        assert source.max_in_flight <= IN_FLIGHT
 
     def test_callers_share_a_fetch(self):
-        source = SpoiltSource()
+        source = CorruptingSource()
         relay = Relay(lambda: [source])
 
         async def run():
             await asyncio.gather(*(relay.piece("m", 7, 5) for _ in range(20)))
 
         asyncio.run(run())
-        assert source.asked == [5]
+        assert source.requested == [5]
 
-    def test_newest_is_asked_for_each_time(self):
-        source = SpoiltSource()
+    def test_newest_version_is_requested_each_time(self):
+        source = CorruptingSource()
         relay = Relay(lambda: [source])
         manifest = asyncio.run(relay.manifest("m", 0))
         assert manifest.version == 7
@@ -264,7 +265,7 @@
         assert caught.value.code == ResultCode.SOURCE_UNAVAILABLE
 
     def test_old_versions_are_dropped(self):
-        source = SpoiltSource()
+        source = CorruptingSource()
         relay = Relay(lambda: [source])
 
         async def run():
--- a/tests/test_slot_admission.py
+++ b/tests/test_slot_admission.py
@@ -1,4 +1,4 @@
-"""A sidecar's answers to entries that ask for a place."""
+"""Responses of a sidecar to entries that request a slot."""
 
 import asyncio
 import types
@@ -8,14 +8,14 @@
 from wisteriapulley.routing import Engine
 from wisteriapulley.wire import Frame, messages
 
-PATIENCE_S = 10.0
+TEST_TIMEOUT_S = 10.0
 ENGINE = Engine("m", 16, 5, 9.27, 0.0232, 20.7)
-# The places' clock runs so many times faster than the test's.
-SPEED = 20
+# Factor by which the clock of the slots runs faster than that of the test.
+CLOCK_SPEEDUP = 20
 
 
-class Asker(WrittenLink):
-    """An entry's link."""
+class EntryLink(WrittenLink):
+    """Link of an entry that keeps the messages that are posted to it."""
 
     peer_id = "entry-x"
 
@@ -26,59 +26,57 @@
         return
 
 
-def granting_of(engine):
-    knowledge = types.SimpleNamespace(
-        held_version=lambda: 1, is_near=lambda link: False
-    )
-    granting = SlotAdmission(knowledge)
-    granting.server = types.SimpleNamespace(links=())
-    granting.slots.engine = engine
-    granting.slots.open = True
-    return granting
+def make_admission(engine):
+    state = types.SimpleNamespace(held_version=lambda: 1, is_near=lambda link: False)
+    admission = SlotAdmission(state)
+    admission.server = types.SimpleNamespace(links=())
+    admission.slots.engine = engine
+    admission.slots.open = True
+    return admission
 
 
-async def reserve(granting, link, number, wait_ms=5000):
-    question = messages.Reserve(f"r{number}", 1, 90, 1, wait_ms)
-    await granting.receive(question, link, Frame(number, 0, question))
+async def reserve(admission, link, number, wait_ms=5000):
+    message = messages.Reserve(f"r{number}", 1, 90, 1, wait_ms)
+    await admission.receive(message, link, Frame(number, 0, message))
 
 
 class TestQueue:
-    def test_request_that_waits_in_vain_is_denied_without_any_other_event(self):
-        """Load: a full engine whose requests run for long; nobody else asks."""
+    def test_queued_request_is_denied_at_its_deadline_without_any_other_event(self):
+        """A full engine with long requests frees no slot, and nothing else arrives."""
 
         async def run():
-            granting = granting_of(ENGINE)
+            admission = make_admission(ENGINE)
             loop = asyncio.get_running_loop()
-            granting.now_ms = lambda: loop.time() * 1000 * SPEED
-            looking = asyncio.create_task(granting.advance_loop())
-            link = Asker()
-            asking = [
-                asyncio.create_task(reserve(granting, link, number))
+            admission.now_ms = lambda: loop.time() * 1000 * CLOCK_SPEEDUP
+            advancing = asyncio.create_task(admission.advance_loop())
+            link = EntryLink()
+            reservations = [
+                asyncio.create_task(reserve(admission, link, number))
                 for number in range(40)
             ]
-            while not granting.slots.queue:
+            while not admission.slots.queue:
                 await asyncio.sleep(0)
-            waiting = len(granting.slots.queue)
-            async with asyncio.timeout(PATIENCE_S):
-                await asyncio.gather(*asking)
+            waiting = len(admission.slots.queue)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await asyncio.gather(*reservations)
             answers = [m for m in link.taken if isinstance(m, messages.Reserved)]
-            verdicts = [answer for answer in answers if not answer.queued]
-            assert len(verdicts) == 40
-            assert sum(not verdict.granted for verdict in verdicts) >= waiting
-            # Each of those that wait is told so once, before its verdict.
-            assert len(answers) - len(verdicts) == waiting
-            looking.cancel()
+            decisions = [answer for answer in answers if not answer.queued]
+            assert len(decisions) == 40
+            assert sum(not decision.granted for decision in decisions) >= waiting
+            # Each queued request gets one response that says so before its decision.
+            assert len(answers) - len(decisions) == waiting
+            advancing.cancel()
 
         asyncio.run(run())
 
-    def test_idle_queue_is_not_looked_at(self):
+    def test_empty_queue_is_not_polled(self):
         async def run():
-            granting = granting_of(ENGINE)
-            looks = []
-            granting.advance = lambda: looks.append(1)
-            looking = asyncio.create_task(granting.advance_loop())
+            admission = make_admission(ENGINE)
+            polls = []
+            admission.advance = lambda: polls.append(1)
+            advancing = asyncio.create_task(admission.advance_loop())
             await asyncio.sleep(0.1)
-            assert looks == []
-            looking.cancel()
+            assert polls == []
+            advancing.cancel()
 
         asyncio.run(run())
--- a/tests/test_target_feed.py
+++ b/tests/test_target_feed.py
@@ -1,4 +1,4 @@
-"""News of targets from one control instance to its followers and the others."""
+"""Distribution of target updates by one control instance to followers and peers."""
 
 import asyncio
 import random
@@ -24,14 +24,16 @@
 
 
 class Instance:
-    """One control instance's feed on a clock of the test's own."""
+    """The feed of one control instance, on a simulated clock."""
 
     def __init__(self, monkeypatch):
         self.now_ms = 0.0
         monkeypatch.setattr(target_feed, "steady_ms", lambda: self.now_ms)
-        self.told = []
+        self.sent_to_peers = []
         self.followers = Followers("z", Regions({}))
-        self.feed = TargetFeed(TargetTable(7200), self.followers, self.told.append)
+        self.feed = TargetFeed(
+            TargetTable(7200), self.followers, self.sent_to_peers.append
+        )
 
     def follower(self, role, lossy=None):
         link = WrittenLink(role, lossy)
@@ -39,7 +41,7 @@
         return link
 
 
-def play(scenario, monkeypatch):
+def run_scenario(scenario, monkeypatch):
     async def run():
         await scenario(Instance(monkeypatch))
 
@@ -47,7 +49,7 @@
 
 
 class TestTargetFeed:
-    def test_starts_that_come_together_go_out_in_one_frame(self, monkeypatch):
+    def test_concurrent_announcements_share_one_frame(self, monkeypatch):
         async def scenario(instance):
             entry, sidecar = instance.follower("entry"), instance.follower("sidecar")
             for number in range(60):
@@ -56,12 +58,12 @@
             for link in (entry, sidecar):
                 (news,) = link.taken
                 assert len(news.targets) == 60
-            (news,) = instance.told
+            (news,) = instance.sent_to_peers
             assert len(news.targets) == 60
 
-        play(scenario, monkeypatch)
+        run_scenario(scenario, monkeypatch)
 
-    def test_change_of_weights_is_no_news_to_sidecars(self, monkeypatch):
+    def test_version_changes_are_not_sent_to_sidecars(self, monkeypatch):
         async def scenario(instance):
             instance.feed.announced(state(1))
             await asyncio.sleep(2 * BATCH_S)
@@ -71,17 +73,17 @@
             assert entry.taken[0].targets[0].version == 2
             assert sidecar.taken == []
 
-        play(scenario, monkeypatch)
+        run_scenario(scenario, monkeypatch)
 
-    def test_what_a_target_costs_does_not_grow_with_its_heartbeats(self, monkeypatch):
-        """100 targets that only say that they live: one frame a second a follower."""
+    def test_heartbeats_of_many_targets_share_one_frame_per_follower(self, monkeypatch):
+        """100 targets send only heartbeats: one frame per second and follower."""
 
         async def scenario(instance):
             for number in range(100):
                 instance.feed.announced(state(number))
             await asyncio.sleep(2 * BATCH_S)
             links = [instance.follower("entry") for _ in range(38)]
-            instance.told.clear()
+            instance.sent_to_peers.clear()
             for second in range(1, 11):
                 instance.now_ms = second * BEATS_S * 1000
                 for number in range(100):
@@ -89,42 +91,42 @@
                 await asyncio.sleep(0)
                 instance.feed.beat_if_due(instance.now_ms)
             assert [len(link.taken) for link in links] == [10] * 38
-            assert len(instance.told) == 10
+            assert len(instance.sent_to_peers) == 10
 
-        play(scenario, monkeypatch)
+        run_scenario(scenario, monkeypatch)
 
-    def test_instances_do_not_echo_what_they_tell_each_other(self, monkeypatch):
+    def test_updates_of_other_instances_are_not_sent_back(self, monkeypatch):
         async def scenario(instance):
             instance.feed.told([state(1)])
             instance.now_ms = 1000.0
-            beat = messages.TargetBeat("i-1", 0, 1, False, 10)
+            heartbeat = messages.TargetBeat("i-1", 0, 1, False, 10)
             instance.feed.take_beats(
-                messages.TargetBeats((beat,)), WrittenLink("control")
+                messages.TargetBeats((heartbeat,)), WrittenLink("control")
             )
             instance.feed.beat_if_due(1000.0)
             await asyncio.sleep(2 * BATCH_S)
-            assert instance.told == []
+            assert instance.sent_to_peers == []
 
-        play(scenario, monkeypatch)
+        run_scenario(scenario, monkeypatch)
 
-    def test_missed_news_are_asked_for(self, monkeypatch):
+    def test_missed_announcements_are_requested(self, monkeypatch):
         async def scenario(instance):
             link = WrittenLink("control")
-            beats = (
+            heartbeats = (
                 messages.TargetBeat("i-1", 0, 4, False, 0),
                 messages.TargetBeat("i-2", 0, 4, False, 0),
             )
             instance.feed.told([state(2, 4)])
-            instance.feed.take_beats(messages.TargetBeats(beats), link)
+            instance.feed.take_beats(messages.TargetBeats(heartbeats), link)
             assert link.taken == [messages.TargetQuery(("i-1",))]
 
-        play(scenario, monkeypatch)
+        run_scenario(scenario, monkeypatch)
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_lost_frames_leave_views_apart_for_two_beats_at_most(
+    def test_views_converge_within_two_heartbeats_after_lost_frames(
         self, seed, monkeypatch
     ):
-        """A third of the frames are lost, until the last two seconds."""
+        """Frames are lost, three of ten, until the last two seconds."""
 
         async def scenario(instance):
             rng = random.Random(seed)
@@ -145,17 +147,17 @@
                     instance.feed.ended("i-0")
                 instance.feed.flush()
                 instance.feed.beat_if_due(instance.now_ms)
-                self.take(registry, link, instance, second)
-                self.take(registry, link, instance, second)
+                self.deliver(registry, link, instance, second)
+                self.deliver(registry, link, instance, second)
             assert registry.targets.pop("i-0").state.gone
-            known = {t.target_id: t.state.version for t in registry.targets.values()}
-            assert known == dict.fromkeys((f"i-{n}" for n in range(1, 20)), 0)
+            versions = {t.target_id: t.state.version for t in registry.targets.values()}
+            assert versions == dict.fromkeys((f"i-{n}" for n in range(1, 20)), 0)
 
-        play(scenario, monkeypatch)
+        run_scenario(scenario, monkeypatch)
 
-    def take(self, registry, link, instance, now_s):
-        taken, link.taken = link.taken, []
-        for message in taken:
+    def deliver(self, registry, link, instance, now_s):
+        received, link.taken = link.taken, []
+        for message in received:
             if isinstance(message, messages.TargetNews):
                 registry.take(message.targets, now_s)
             else:
@@ -163,8 +165,8 @@
                 instance.feed.answer(messages.TargetQuery(tuple(missed)), link)
 
 
-class TestBeats:
-    def test_beat_of_another_instance_keeps_a_target(self):
+class TestHeartbeats:
+    def test_heartbeat_from_another_instance_keeps_a_target(self):
         table = TargetTable(6000)
         table.update(state(1), 0.0)
         assert table.record_heartbeat(
@@ -182,22 +184,22 @@
         assert table.record_heartbeat(messages.TargetBeat("i-1", 0, 1, False, 0), 2.0)
         assert table.records["i-1"].state.gone
 
-    def test_end_that_was_missed_is_told_again(self):
+    def test_missed_end_is_repeated(self):
         table, registry = TargetTable(6000), TargetRegistry()
         table.update(state(1), 0.0)
         registry.take([state(1)], 0.0)
         table.mark_gone("i-1", 1000.0)
-        beats = tuple(table.heartbeats(2000.0, 1500.0))
-        assert registry.take_beats(beats, 2.0) == ["i-1"]
+        heartbeats = tuple(table.heartbeats(2000.0, 1500.0))
+        assert registry.take_beats(heartbeats, 2.0) == ["i-1"]
 
-    def test_beats_keep_a_target_a_candidate(self):
+    def test_heartbeats_keep_a_target_a_candidate(self):
         registry = TargetRegistry()
         registry.take([state(1)], 0.0)
         now_s = 0.0
         for _ in range(10):
             now_s += HEARTBEAT_S
-            beat = messages.TargetBeat("i-1", 0, 1, False, 200)
-            assert registry.take_beats([beat], now_s) == []
+            heartbeat = messages.TargetBeat("i-1", 0, 1, False, 200)
+            assert registry.take_beats([heartbeat], now_s) == []
         assert len(registry.candidates("s", now_s)) == 1
         other = messages.TargetBeat("i-2", 0, 1, False, 0)
         assert registry.take_beats([other], now_s + SILENCE_S) == ["i-2"]
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -1,4 +1,4 @@
-"""Targets as control instances and entries know them."""
+"""Recorded state of targets at control instances and entries."""
 
 import random
 
@@ -21,25 +21,25 @@
 
 
 class TestTargetTable:
-    def test_older_news_change_nothing(self):
+    def test_older_announcement_changes_nothing(self):
         table = TargetTable(6000)
         assert table.update(state(sequence=4, leaving=True), 0.0)
         assert not table.update(state(sequence=3), 10.0)
         assert table.records["i-1"].state.leaving
 
-    def test_only_a_sequence_is_no_change(self):
+    def test_new_sequence_alone_is_no_change(self):
         table = TargetTable(6000)
         assert table.update(state(sequence=1), 0.0)
         assert not table.update(state(sequence=2), 1.0)
         assert table.update(state(sequence=3, version=2), 2.0)
 
-    def test_leaving_is_for_good(self):
+    def test_leaving_is_final(self):
         table = TargetTable(6000)
         table.update(state(sequence=1, leaving=True), 0.0)
         table.update(state(sequence=2), 1.0)
         assert table.records["i-1"].state.leaving
 
-    def test_late_heartbeat_does_not_bring_a_target_back(self):
+    def test_late_announcement_does_not_bring_a_target_back(self):
         table = TargetTable(6000)
         table.update(state(), 0.0)
         table.mark_gone("i-1", 1.0)
@@ -47,7 +47,7 @@
         table.sweep(GONE_RETENTION_MS / 2)
         assert table.records["i-1"].state.gone
 
-    def test_silent_target_is_forgotten(self):
+    def test_target_without_announcements_expires(self):
         table = TargetTable(6000)
         table.update(state(), 0.0)
         table.sweep(5000.0)
@@ -56,24 +56,24 @@
         assert not table.records
 
     @pytest.mark.parametrize("seed", range(10))
-    def test_any_order_and_route_ends_alike(self, seed):
+    def test_order_and_route_do_not_affect_the_final_state(self, seed):
         rng = random.Random(seed)
-        news = [state(sequence=n, version=n // 3) for n in range(1, 12)]
-        news.append(state(sequence=12, leaving=True))
+        announcements = [state(sequence=n, version=n // 3) for n in range(1, 12)]
+        announcements.append(state(sequence=12, leaving=True))
         tables = [TargetTable(6000) for _ in range(3)]
         for table in tables:
-            mixed = news + rng.sample(news, 4)
-            rng.shuffle(mixed)
-            for item in mixed:
+            shuffled = announcements + rng.sample(announcements, 4)
+            rng.shuffle(shuffled)
+            for item in shuffled:
                 table.update(item, 0.0)
-        ends = {table.records["i-1"].state for table in tables}
-        assert ends == {state(sequence=12, leaving=True)}
+        final_states = {table.records["i-1"].state for table in tables}
+        assert final_states == {state(sequence=12, leaving=True)}
 
 
-class TestTargetThatStartsAgain:
-    """One id, several starts: the latest counts, whatever order news come in."""
+class TestTargetThatRestarts:
+    """One id, several incarnations: the latest counts, in any order of arrival."""
 
-    def test_leaving_and_gone_belong_to_the_earlier_start(self):
+    def test_leaving_and_gone_end_with_the_incarnation(self):
         table = TargetTable(6000)
         table.update(state(sequence=90, leaving=True, started_ms=1000), 0.0)
         table.mark_gone("i-1", 1.0)
@@ -81,19 +81,19 @@
         known = table.records["i-1"].state
         assert not (known.leaving or known.gone)
 
-    def test_late_heartbeat_of_the_earlier_start(self):
+    def test_late_announcement_of_an_earlier_incarnation_changes_nothing(self):
         table = TargetTable(6000)
         table.update(state(sequence=1, started_ms=2000), 0.0)
         assert not table.update(state(sequence=99, version=3, started_ms=1000), 1.0)
         assert table.records["i-1"].state.version == 0
 
-    def test_start_is_told_only_by_the_later_one(self):
+    def test_start_time_supersedes_an_unknown_one(self):
         table = TargetTable(6000)
         table.update(state(sequence=40, version=3), 0.0)
         assert table.update(state(sequence=1, started_ms=2000), 1.0)
         assert table.records["i-1"].state.version == 0
 
-    def test_gone_without_a_start_ends_the_known_one(self):
+    def test_gone_without_start_time_ends_the_recorded_incarnation(self):
         table = TargetTable(6000)
         table.update(state(sequence=4, started_ms=1000), 0.0)
         assert table.update(TargetState("i-1", gone=True, leaving=True), 1.0)
@@ -101,7 +101,7 @@
         assert not table.update(state(sequence=5, started_ms=1000), 2.0)
         assert table.update(state(sequence=1, started_ms=3000), 3.0)
 
-    def test_registry_forgets_what_the_earlier_start_held_and_owed(self):
+    def test_registry_drops_the_state_of_the_earlier_incarnation(self):
         registry = TargetRegistry()
         registry.take([state(sequence=50, version=2, started_ms=1000)], 0.0)
         earlier = registry.targets["i-1"]
@@ -114,7 +114,7 @@
         registry.take([state(sequence=51, version=2, started_ms=1000)], 1.2)
         assert registry.targets["i-1"] is target
 
-    def test_registry_gives_up_the_address_of_the_earlier_start(self):
+    def test_registry_frees_the_address_of_the_earlier_incarnation(self):
         registry = TargetRegistry()
         registry.take([state(started_ms=1000)], 0.0)
         registry.take([state(started_ms=2000, address="10.0.0.9:80")], 1.0)
@@ -123,33 +123,35 @@
         assert names == {"i-1", "i-2"}
 
     @given(st.data())
-    def test_any_order_and_loss_ends_with_the_newest_that_came(self, data):
+    def test_newest_received_announcement_wins_in_any_order(self, data):
         starts = data.draw(st.lists(st.integers(1, 9), min_size=1, max_size=3))
-        news = [
+        announcements = [
             state(sequence=n, version=n, started_ms=start * 1000, leaving=n == 4)
             for start in set(starts)
             for n in range(1, 5)
         ]
-        came = data.draw(st.lists(st.sampled_from(news), min_size=1, max_size=20))
+        received = data.draw(
+            st.lists(st.sampled_from(announcements), min_size=1, max_size=20)
+        )
         table, registry = TargetTable(6000), TargetRegistry()
-        for item in came:
+        for item in received:
             table.update(item, 0.0)
             registry.take([item], 0.0)
-        newest = max(came, key=lambda item: (item.started_ms, item.sequence))
+        newest = max(received, key=lambda item: (item.started_ms, item.sequence))
         assert table.records["i-1"].state == newest
         assert registry.targets["i-1"].state == newest
 
 
-class TestNewsOfAnotherWriter:
+class TestForeignAnnouncement:
     def test_another_service_or_address_changes_nothing(self):
         table, registry = TargetTable(6000), TargetRegistry()
         table.update(state(), 0.0)
         registry.take([state()], 0.0)
         foreign = state(sequence=1 << 40)._replace(service="other")
         moved = state(sequence=1 << 40, address="10.9.9.9:1")
-        for news in (foreign, moved):
-            assert not table.update(news, 1.0)
-            registry.take([news], 1.0)
+        for announcement in (foreign, moved):
+            assert not table.update(announcement, 1.0)
+            registry.take([announcement], 1.0)
         assert table.records["i-1"].state == state()
         assert registry.targets["i-1"].state == state()
 
@@ -158,21 +160,21 @@
     def candidates(self, registry, now_s):
         return [t.target_id for t in registry.candidates("s", now_s)]
 
-    def test_leaving_target_takes_nothing(self):
+    def test_leaving_target_is_no_candidate(self):
         registry = TargetRegistry()
         registry.take([state()], 0.0)
         assert self.candidates(registry, 0.1) == ["i-1"]
         registry.take([state(sequence=2, leaving=True)], 0.2)
         assert self.candidates(registry, 0.3) == []
 
-    def test_silent_target_takes_nothing_while_others_are_heard(self):
+    def test_unresponsive_target_is_no_candidate_while_others_respond(self):
         registry = TargetRegistry()
         registry.take([state()], 0.0)
         later = SILENCE_S + 1
         registry.take([state("i-2", address="10.0.0.2:80")], later)
         assert self.candidates(registry, later) == ["i-2"]
 
-    def test_without_any_news_targets_stay(self):
+    def test_targets_stay_candidates_without_any_announcements(self):
         registry = TargetRegistry()
         registry.take([state()], 0.0)
         assert self.candidates(registry, 60.0) == ["i-1"]
@@ -183,20 +185,20 @@
         registry.take([state("i-2")], 1.0)
         assert self.candidates(registry, 1.0) == ["i-2"]
 
-    def test_late_heartbeat_of_the_earlier_incarnation(self):
+    def test_late_announcement_of_the_earlier_incarnation(self):
         registry = TargetRegistry()
         registry.take([state("i-2")], 5.0)
         registry.take([state("i-1", age_ms=3000)], 6.0)
         assert self.candidates(registry, 6.0) == ["i-2"]
 
-    def test_unreachable_target_is_left_alone_for_a_while(self):
+    def test_unreachable_target_is_retried_after_a_pause(self):
         registry = TargetRegistry()
         registry.take([state()], 0.0)
         registry.targets["i-1"].unreachable(1.0)
         assert self.candidates(registry, 1.0 + DOWN_FIRST_S / 2) == []
         assert self.candidates(registry, 1.1 + DOWN_FIRST_S) == ["i-1"]
 
-    def test_target_that_fails_alone_is_set_aside(self):
+    def test_target_that_alone_fails_is_ejected(self):
         registry = TargetRegistry()
         registry.take([state(f"i-{n}", address=f"10.0.0.{n}:80") for n in (1, 2, 3)], 0)
         for _ in range(8):
@@ -206,7 +208,7 @@
         assert self.candidates(registry, 1.1) == ["i-2", "i-3"]
         assert len(self.candidates(registry, 1.1 + ASIDE_S)) == 3
 
-    def test_targets_that_all_fail_are_kept(self):
+    def test_targets_are_not_ejected_when_all_fail(self):
         registry = TargetRegistry()
         registry.take([state(f"i-{n}", address=f"10.0.0.{n}:80") for n in (1, 2, 3)], 0)
         for _ in range(8):
