--- a/src/wisteriapulley/control/permits.py
+++ b/src/wisteriapulley/control/permits.py
@@ -102,7 +102,7 @@
 
     A target that died during its switch counts as unavailable until its member lease
     has ended. A new leader starts without a record of missing targets: it waits a
-    whole `lease_ms` before it treats a target as gone, since its own view of the
+    full `lease_ms` before it treats a target as gone, since its own view of the
     members may still be incomplete.
 
     Parameters
--- a/src/wisteriapulley/rollout/__init__.py
+++ b/src/wisteriapulley/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Sidecars of engines that entries send to: weights, and places at the engine."""
+"""Sidecars of engines that entries send to: weight updates and slot admission."""
--- a/src/wisteriapulley/rollout/service.py
+++ b/src/wisteriapulley/rollout/service.py
@@ -25,7 +25,8 @@
 # The engine is polled often while it holds no weights or while other weights are to
 # be loaded. While it serves the desired version a crash may be detected later, since
 # entries notice it first. Together with slower heartbeats, the longer interval
-# cut the processor time of all processes of 74 instances by 22 %.
+# cut the processor time of all processes of 74 instances by 22 %, from 254 to 197 s
+# in 24 s.
 POLL_INTERVAL_S = 0.2
 STEADY_POLL_INTERVAL_S = 0.4
 
@@ -149,24 +150,24 @@
         An engine in a cool-down that it requested is not polled and keeps its last
         report.
         """
-        known = self.state.report
+        previous = self.state.report
         try:
-            report = (await self.engine.report()).merged_with(known)
+            report = (await self.engine.report()).merged_with(previous)
         except WisteriapulleyError as error:
             if self.engine.cooldown.wait_s(asyncio.get_running_loop().time()):
                 return
-            if known.versions or not self.polled:
+            if previous.versions or not self.polled:
                 log.warning("the engine does not answer: %s", error)
             report = EngineReport({})
-        if report.versions != known.versions:
+        if report.versions != previous.versions:
             log.info("engine holds", extra=fields(versions=report.versions))
             if not report.versions:
                 self.updater.staging.inspected = False
-        if report.started_ms > known.started_ms > 0:
+        if report.started_ms > previous.started_ms > 0:
             log.warning("engine restarted", extra=fields(at_ms=report.started_ms))
             self.admission.engine_restarted()
             self.updater.staging.inspected = False
-        if report.leaving and not known.leaving:
+        if report.leaving and not previous.leaving:
             log.info("engine says it leaves", extra=fields())
         self.polled = True
         self.state.report = report
--- a/src/wisteriapulley/rollout/updater.py
+++ b/src/wisteriapulley/rollout/updater.py
@@ -100,8 +100,8 @@
         """Return the download rate; leave bandwidth for requests while serving.
 
         The first engines to switch have few requests left when their download ends,
-        and they should be back as early as possible. An engine whose slots are closed
-        serves no requests that need bandwidth.
+        and every tenth of a second by which they are back earlier counts. An engine
+        whose slots are closed serves no requests that need bandwidth.
         """
         link_mbps = self.settings.link_mbps
         first = self.state.switch_rank().fraction < FULL_RATE_FRACTION
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -35,10 +35,10 @@
     def test_snapshot_restores_the_complete_state(self):
         state = state_with_entry()
         acquire(state, 3, "t")
-        copy = ControlState()
-        copy.restore(state.snapshot())
-        assert copy.snapshot() == state.snapshot()
-        assert copy.claims.claims == state.claims.claims
+        restored = ControlState()
+        restored.restore(state.snapshot())
+        assert restored.snapshot() == state.snapshot()
+        assert restored.claims.claims == state.claims.claims
 
     def test_permits_respect_max_unavailable(self):
         state = state_with_entry()
--- a/tests/test_target_feed.py
+++ b/tests/test_target_feed.py
@@ -56,10 +56,10 @@
                 instance.feed.announced(state(number))
             await asyncio.sleep(2 * BATCH_S)
             for link in (entry, sidecar):
-                (news,) = link.taken
-                assert len(news.targets) == 60
-            (news,) = instance.sent_to_peers
-            assert len(news.targets) == 60
+                (update,) = link.taken
+                assert len(update.targets) == 60
+            (update,) = instance.sent_to_peers
+            assert len(update.targets) == 60
 
         run_scenario(scenario, monkeypatch)
 
