--- a/bench/turned_away.py
+++ b/bench/turned_away.py
@@ -22,27 +22,20 @@
 from wisteriapulley.direct.registry import Target, TargetRegistry
 from wisteriapulley.direct.settings import DirectSettings
 from wisteriapulley.direct.sidecars import CLOSED_STATE, LATER_LOAD, LIMITED_STATE
-from wisteriapulley.direct.types import (
-    CallerRequest,
-    Headers,
-    Refusal,
-    SendPlan,
-)
+from wisteriapulley.direct.types import CallerRequest, Headers, Refusal, SendPlan
 from wisteriapulley.emulator.engine import EmulatedEngine, Job
 from wisteriapulley.emulator.mixes import ENGINE, MIXES, draw_sizes
 from wisteriapulley.entry.metrics import EntryMetrics
 from wisteriapulley.metrics import Metrics
-from wisteriapulley.policy.choice import Load
 from wisteriapulley.policy.circuit_breaker import SendOutcome
-from wisteriapulley.policy.statements import StatedRest, Statements, TargetLoad
-from wisteriapulley.rollout.admission import SlotAdmission
-from wisteriapulley.routing import (
-    Route,
-    RouteKind,
-    RoutingTable,
-    Service,
-    Split,
+from wisteriapulley.policy.response_signals import (
+    RequestedCooldown,
+    ResponseSignals,
+    TargetLoad,
 )
+from wisteriapulley.policy.target_ranking import Load
+from wisteriapulley.rollout.admission import SlotAdmission
+from wisteriapulley.routing import Route, RouteKind, RoutingTable, Service, Split
 from wisteriapulley.settings import Address
 from wisteriapulley.weights.named import NamedVersions
 from wisteriapulley.wire import Frame, messages
@@ -128,7 +121,10 @@
     """An answer of a virtual target; see `direct.types.TargetAnswer`."""
 
     def __init__(
-        self, status: int, says: Statements, parts: AsyncIterator[bytes] | None = None
+        self,
+        status: int,
+        says: ResponseSignals,
+        parts: AsyncIterator[bytes] | None = None,
     ):
         self.status, self.says = status, says
         self.headers: Headers = ()
@@ -174,15 +170,15 @@
         full = self.plain and self.running >= PLAIN_SLOTS + PLAIN_QUEUE
         if self.turns_away or full:
             self.sent_away += 1
-            rest = StatedRest(self.rest_s if self.turns_away else 0.0)
-            return Answer(503, Statements(rest=rest))
+            rest = RequestedCooldown(self.rest_s if self.turns_away else 0.0)
+            return Answer(503, ResponseSignals(cooldown=rest))
         if not self.plain:
             return await self.stream(request)
         self.running += 1
         async with self.places:
             await asyncio.sleep(PLAIN_WORK_S)
         self.running -= 1
-        says = Statements(TargetLoad(self.running, 0, PLAIN_SLOTS))
+        says = ResponseSignals(TargetLoad(self.running, 0, PLAIN_SLOTS))
         return Answer(200, says)
 
     async def next_event(self, queue: asyncio.Queue) -> bytes | None:
@@ -198,7 +194,7 @@
         events = round(request.answer_tokens / ENGINE.stride)
         queue = self.events[request.request_id] = asyncio.Queue()
         self.engine.on_first = lambda name: self.events[name].put_nowait(b"1")
-        self.engine.send(Job(request.request_id, request.prompt_tokens, events))
+        self.engine.submit(Job(request.request_id, request.prompt_tokens, events))
         await queue.get()
 
         async def rest() -> AsyncIterator[bytes]:
@@ -209,7 +205,7 @@
                 yield b"id: %d\ndata: 1\n\n" % number
                 event = await self.next_event(queue)
 
-        return Answer(200, Statements(), rest())
+        return Answer(200, ResponseSignals(), rest())
 
 
 class VirtualClient:
@@ -302,8 +298,8 @@
         rests: bool = False,
     ) -> None:
         """Give a place back."""
-        taken = outcome is SendOutcome.TAKEN
-        turned_away = outcome is SendOutcome.TURNED_AWAY
+        taken = outcome is SendOutcome.ACCEPTED
+        turned_away = outcome is SendOutcome.REJECTED
         link.post(messages.Release(request_id, taken, turned_away, rests))
 
 
@@ -471,7 +467,7 @@
         helpers += [loop.create_task(g.advance_loop()) for g in self.grantings.values()]
         asks = []
         while loop.time() < SECONDS:
-            kind = self.rng.choices(MIX.kinds, [k.share for k in MIX.kinds])[0]
+            kind = self.rng.choices(MIX.kinds, [k.relative_rate for k in MIX.kinds])[0]
             caller = Caller(loop.time())
             self.callers.append(caller)
             asks.append(loop.create_task(self.ask(caller, *draw_sizes(self.rng, kind))))
--- a/bench/virtual.py
+++ b/bench/virtual.py
@@ -123,7 +123,7 @@
     def sweep(self) -> None:
         """Look for slow targets."""
         if self.scheduler is not None:
-            self.scheduler.suspect(self.now_s)
+            self.scheduler.record_overdue(self.now_s)
             self.start_queued()
 
     def arrive(self, arrival: Arrival) -> None:
@@ -132,7 +132,7 @@
             self.hold(next(self.turns), arrival)
             return
         try:
-            name = self.scheduler.offer(
+            name = self.scheduler.submit(
                 arrival.work, self.views(), self.limit, self.now_s
             )
         except RequestError as error:
--- a/src/wisteriapulley/cli.py
+++ b/src/wisteriapulley/cli.py
@@ -252,7 +252,7 @@
     def __call__(self) -> int:
         """Print a table."""
         from wisteriapulley.emulator import MIXES, Scenario
-        from wisteriapulley.emulator.experiment import run, table
+        from wisteriapulley.emulator.experiment import format_table, run_variants
 
         if self.mix not in MIXES or min(self.engines, self.load, self.seeds) <= 0:
             raise WisteriapulleyError(
@@ -261,7 +261,7 @@
                 f" {self.mix!r}, {self.engines}, {self.load}, {self.seeds}",
             )
         base = Scenario(self.mix, self.engines, self.load)
-        for line in table(run(base, self.seeds)):
+        for line in format_table(run_variants(base, self.seeds)):
             print(line)
         return EXIT_OK
 
--- a/src/wisteriapulley/control/rate_owner.py
+++ b/src/wisteriapulley/control/rate_owner.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 
 from wisteriapulley.errors import WisteriapulleyError
-from wisteriapulley.policy.stated_rate import RateLimits
+from wisteriapulley.policy.advertised_rate import RateLimits
 from wisteriapulley.rendezvous import rendezvous
 from wisteriapulley.wire import Link
 from wisteriapulley.wire.messages import Passage, PassageQuery, TargetRate
@@ -89,8 +89,8 @@
     def record_rate(self, message: TargetRate | PassageQuery, now_s: float) -> None:
         """Record the rate that an entry received from a target."""
         observed_s = now_s - message.age_ms / 1000
-        self.limits.hear(message.target, message.per_s or None, observed_s)
+        self.limits.update(message.target, message.per_s or None, observed_s)
 
     def sweep(self) -> None:
         """Drop the limits of targets that are long gone."""
-        self.limits.sweep(asyncio.get_running_loop().time())
+        self.limits.remove_expired(asyncio.get_running_loop().time())
--- a/src/wisteriapulley/control/suspect_feed.py
+++ b/src/wisteriapulley/control/suspect_feed.py
@@ -47,7 +47,7 @@
     def restore(self, store: SuspectStore) -> None:
         """Take in what the disk holds, and keep it there from now on."""
         self.store = store
-        self.suspects.take(store.load(), steady_s())
+        self.suspects.merge_updates(store.load(), steady_s())
 
     def take(self, news: messages.SuspectNews, from_entry: bool) -> None:
         """Take news in, and pass on what was not known.
@@ -61,7 +61,7 @@
             entry tells them all itself.
         """
         before = self.suspects.quarantined()
-        changed = self.suspects.take(news.suspects, steady_s())
+        changed = self.suspects.merge_updates(news.suspects, steady_s())
         told = self.news(filter(self.may_pass, changed))
         if told.suspects:
             self.followers.push_suspects(told)
@@ -84,14 +84,14 @@
 
     def news(self, digests: Iterable[bytes]) -> messages.SuspectNews:
         """Make the news of some requests."""
-        return messages.SuspectNews(tuple(self.suspects.news(steady_s(), digests)))
+        return messages.SuspectNews(tuple(self.suspects.updates(steady_s(), digests)))
 
     def tell_all(self, link: Link) -> None:
         """Tell a new link what it needs to know."""
-        news = self.news(self.suspects.heaviest())
+        news = self.news(self.suspects.top_suspects())
         if news.suspects:
             link.post(news)
 
     def sweep(self) -> None:
         """Forget what is long past."""
-        self.suspects.sweep(steady_s())
+        self.suspects.remove_expired(steady_s())
--- a/src/wisteriapulley/direct/crashes.py
+++ b/src/wisteriapulley/direct/crashes.py
@@ -93,7 +93,7 @@
         if not await self.liveness.has_ended(target):
             return
         digest = self.fingerprint(admitted, progress)
-        record = self.suspects.target_ended(digest, target.start, steady_s())
+        record = self.suspects.record_crash(digest, target.start, steady_s())
         self.tell_soon(digest)
         log.warning(
             "target ended under request",
@@ -114,7 +114,7 @@
         if not self.suspects.records:
             return
         digest = self.fingerprint(admitted, progress)
-        if self.suspects.answered(digest, steady_s()):
+        if self.suspects.record_answer(digest, steady_s()):
             self.tell_soon(digest)
 
     # -- what others know ------------------------------------------------
@@ -132,15 +132,15 @@
 
     def own_news(self) -> SuspectNews:
         """Make what an instance is told that is followed from now on."""
-        return self.news(self.suspects.heaviest())
+        return self.news(self.suspects.top_suspects())
 
     def news(self, digests: Iterable[bytes]) -> SuspectNews:
         """Make the news of some requests."""
-        return SuspectNews(tuple(self.suspects.news(steady_s(), digests)))
+        return SuspectNews(tuple(self.suspects.updates(steady_s(), digests)))
 
     def take(self, news: SuspectNews) -> None:
         """Take in what control instances tell."""
-        for digest in self.suspects.take(news.suspects, steady_s()):
+        for digest in self.suspects.merge_updates(news.suspects, steady_s()):
             if self.suspects.is_quarantined(digest):
                 log.warning(
                     "request quarantined", extra=fields(fingerprint=digest.hex())
@@ -148,4 +148,4 @@
 
     def sweep(self) -> None:
         """Forget what is long past."""
-        self.suspects.sweep(steady_s())
+        self.suspects.remove_expired(steady_s())
--- a/src/wisteriapulley/direct/dispatch.py
+++ b/src/wisteriapulley/direct/dispatch.py
@@ -23,8 +23,8 @@
 from wisteriapulley.entry.metrics import EntryMetrics
 from wisteriapulley.errors import ResultCode
 from wisteriapulley.logs import fields
-from wisteriapulley.policy.comeback import comeback_s
-from wisteriapulley.policy.returning import Returning
+from wisteriapulley.policy.retry_after import retry_after_s
+from wisteriapulley.policy.retry_detection import RetryDetector
 from wisteriapulley.policy.shared_budget import SharedRetryBudget
 from wisteriapulley.routing import Route, RouteIndex, RoutingTable
 
@@ -99,7 +99,7 @@
         # Of the whole fleet, as far as known.
         self.entries = 0
         # By route.
-        self.returning: defaultdict[str, Returning] = defaultdict(Returning)
+        self.returning: defaultdict[str, RetryDetector] = defaultdict(RetryDetector)
         self.random = random.Random(settings.node_id)
 
     def use(self, table: RoutingTable) -> None:
@@ -115,14 +115,14 @@
                 self.settings.retry_slack,
                 self.settings.retry_window_s,
             )
-            self.budgets[service].know_entries(self.entries)
+            self.budgets[service].update_entries(self.entries)
         return self.budgets[service]
 
     def know_entries(self, entries: int) -> None:
         """Take in how many entries share the budgets."""
         self.entries = max(self.entries, entries)
         for budget in self.budgets.values():
-            budget.know_entries(self.entries)
+            budget.update_entries(self.entries)
 
     # -- admission -------------------------------------------------------
 
@@ -131,16 +131,16 @@
         if self.index is None:
             reason = "no routing table yet"
             return Refusal(RefusalKind.NOT_READY, STARTING_RETRY_S, reason)
-        route = self.index.route(request.host, request.path)
+        route = self.index.find_route(request.host, request.path)
         if route is None:
             return self.not_in_table(RefusalKind.NO_ROUTE, "no route")
-        account = self.index.account(request.key) if request.key else None
+        account = self.index.find_account(request.key) if request.key else None
         if account is None and self.index.table.needs_keys and not route.public:
             return self.not_in_table(RefusalKind.BAD_KEY, "unknown key")
         # A caller that states no time, or too long a one, waits for the route's limit.
         limit_s = min(route.timeout_ms / 1000, request.patience_s)
         arrived_s = request.arrived_s
-        returned = self.returning[route.name].has_returned(limit_s, arrived_s)
+        returned = self.returning[route.name].is_retry(limit_s, arrived_s)
         return Admitted(request, route, account, arrived_s + limit_s, returned)
 
     def not_in_table(self, kind: RefusalKind, reason: str) -> Refusal:
@@ -176,7 +176,7 @@
         if isinstance(admitted, Refusal):
             return self.refused(request, admitted)
         service = self.choose_service(admitted.route, self.now_s())
-        self.budget(service).note_request(self.now_s())
+        self.budget(service).record_request(self.now_s())
         try:
             async with asyncio.timeout_at(admitted.deadline_s):
                 refusal = await self.work(admitted, service, answer)
@@ -189,7 +189,7 @@
         if refusal is None:
             return None
         if refusal.kind in SPREAD_KINDS:
-            self.returning[admitted.route.name].refused(self.now_s())
+            self.returning[admitted.route.name].record_refusal(self.now_s())
         if answer.started:
             log.warning(
                 "answer cut",
@@ -225,7 +225,7 @@
         retry_s = 0.0
         if refusal.retry_s:
             spread = refusal.kind in SPREAD_KINDS
-            retry_s = comeback_s(spread, refusal.retry_s, left_s, self.random.random)
+            retry_s = retry_after_s(spread, refusal.retry_s, left_s, self.random.random)
         log.info(
             "refused",
             extra=fields(
@@ -261,7 +261,7 @@
                 # What others tell may have come while it waited for the place.
                 place.release()
                 return self.final(admitted, progress, QUARANTINED)
-            if progress.sends and not self.budget(service).take(self.now_s()):
+            if progress.sends and not self.budget(service).spend(self.now_s()):
                 place.release()
                 return self.final(admitted, progress, refusal)
             progress.sends += 1
@@ -307,7 +307,7 @@
         """Find a place for the next send."""
         service, now_s = progress.service, self.now_s()
         engine = self.index.services[service].engine
-        is_last = progress.is_last_send or not self.budget(service).has_left(now_s)
+        is_last = progress.is_last_send or not self.budget(service).has_budget(now_s)
         return await self.placing.place(
             admitted, service, engine, progress.tried, now_s, is_last
         )
--- a/src/wisteriapulley/direct/hearing.py
+++ b/src/wisteriapulley/direct/hearing.py
@@ -6,7 +6,7 @@
 
 from wisteriapulley.direct.registry import Target
 from wisteriapulley.logs import fields
-from wisteriapulley.policy.statements import Statements
+from wisteriapulley.policy.response_signals import ResponseSignals
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
     def __init__(self, heard_rate: Callable[[Target, float], None]):
         self.heard_rate = heard_rate
 
-    def hear(self, target: Target, says: Statements, sent_s: float) -> None:
+    def hear(self, target: Target, says: ResponseSignals, sent_s: float) -> None:
         """Take in what an answer of a target says of it; log what changes."""
         now_s = asyncio.get_running_loop().time()
         known_per_s = target.rate.per_s
@@ -41,31 +41,31 @@
         if heard.rest:
             log.info(
                 "target asks for rest",
-                extra=fields(target=target.target_id, rest_s=says.rest.seconds),
+                extra=fields(target=target.target_id, rest_s=says.cooldown.seconds),
             )
         if heard.leaving:
             log.info("target says it leaves", extra=fields(target=target.target_id))
         self.log_unreadable(target, says)
 
-    def log_unreadable(self, target: Target, says: Statements) -> None:
+    def log_unreadable(self, target: Target, says: ResponseSignals) -> None:
         """Log what can't be read, once for each target."""
-        if target.rate.is_first_unreadable(says.rate):
+        if target.rate.is_first_invalid(says.rate):
             log.warning(
                 "rate can't be read",
                 extra=fields(
                     target=target.target_id,
                     expected="a decimal number of requests a second",
-                    got=says.rate.unreadable[:SHOWN],
+                    got=says.rate.invalid_text[:SHOWN],
                     kept_per_s=target.rate.per_s,
                 ),
             )
-        if target.rest.is_first_unreadable(says.rest):
+        if target.rest.is_first_invalid(says.cooldown):
             log.warning(
                 "rest can't be read",
                 extra=fields(
                     target=target.target_id,
                     expected="a decimal number of seconds, or a date",
-                    got=says.rest.unreadable[:SHOWN],
-                    taken_s=says.rest.seconds,
+                    got=says.cooldown.invalid_text[:SHOWN],
+                    taken_s=says.cooldown.seconds,
                 ),
             )
--- a/src/wisteriapulley/direct/limited.py
+++ b/src/wisteriapulley/direct/limited.py
@@ -5,7 +5,7 @@
 
 from wisteriapulley.direct.registry import Target
 from wisteriapulley.errors import WisteriapulleyError
-from wisteriapulley.policy.stated_rate import RateLimits
+from wisteriapulley.policy.advertised_rate import RateLimits
 from wisteriapulley.wire import Link
 from wisteriapulley.wire.messages import Passage, PassageQuery, TargetRate
 
@@ -51,8 +51,8 @@
         passage = await self.ask(target, now_s)
         if passage is None:
             return self.alone_wait_s(target, now_s)
-        if not passage.limited and target.rate.heard_s <= now_s:
-            target.rate.end(now_s)
+        if not passage.limited and target.rate.observed_s <= now_s:
+            target.rate.clear(now_s)
         if passage.granted:
             return 0.0
         wait_s = passage.wait_ms / 1000
@@ -69,7 +69,7 @@
 
     async def ask(self, target: Target, now_s: float) -> Passage | None:
         """Ask for a passage; None where nobody answers."""
-        age_ms = max(0, int((now_s - target.rate.heard_s) * 1000))
+        age_ms = max(0, int((now_s - target.rate.observed_s) * 1000))
         query = PassageQuery(target.start, target.rate.per_s, age_ms)
         for link in self.links():
             try:
@@ -80,7 +80,7 @@
 
     def alone_wait_s(self, target: Target, now_s: float) -> float:
         """Return how long until a request may pass without anybody else's word."""
-        self.alone.hear(target.start, target.rate.per_s, target.rate.heard_s)
+        self.alone.update(target.start, target.rate.per_s, target.rate.observed_s)
         if self.alone.take(target.start, now_s):
             return 0.0
         return self.alone.wait_s(target.start, now_s)
@@ -105,7 +105,7 @@
 
     def sweep(self, now_s: float) -> None:
         """Forget targets that are long gone."""
-        self.alone.sweep(now_s)
+        self.alone.remove_expired(now_s)
         for start, until_s in tuple(self.full_until_s.items()):
             if until_s <= now_s:
                 del self.full_until_s[start]
@@ -113,5 +113,5 @@
 
 def rate_news(target: Target, now_s: float) -> TargetRate:
     """Say what a target states, and how long ago that was heard."""
-    age_ms = max(0, int((now_s - target.rate.heard_s) * 1000))
+    age_ms = max(0, int((now_s - target.rate.observed_s) * 1000))
     return TargetRate(target.start, target.rate.per_s or 0.0, age_ms)
--- a/src/wisteriapulley/direct/placing.py
+++ b/src/wisteriapulley/direct/placing.py
@@ -14,8 +14,8 @@
 from wisteriapulley.direct.settings import DirectSettings
 from wisteriapulley.direct.sidecars import Sidecars
 from wisteriapulley.direct.types import CallerRequest, Refusal, RefusalKind
-from wisteriapulley.policy.choice import Load, Surroundings, by_preference
 from wisteriapulley.policy.circuit_breaker import SendOutcome
+from wisteriapulley.policy.target_ranking import EntryLocation, Load, rank_targets
 from wisteriapulley.regions import Regions
 from wisteriapulley.routing import Engine
 from wisteriapulley.wire import Link, messages
@@ -151,7 +151,7 @@
         self.follower = follower
         self.sidecars = Sidecars(settings, identity, registry)
         self.limited = LimitedTargets(follower.open_links)
-        self.around = Surroundings(
+        self.around = EntryLocation(
             settings.failure_domain, Regions(settings.failure_domain_regions)
         )
         self.random = random.Random(identity.node_id)
@@ -223,7 +223,7 @@
         self, targets: list[Target], now_s: float, is_last: bool
     ) -> Place | Refusal:
         """Take the least loaded plain target whose stated rate allows it."""
-        order = by_preference(
+        order = rank_targets(
             targets, plain_load, self.around, self.random.random, now_s
         )
         waits_s: list[float] = []
@@ -296,7 +296,7 @@
             for target in targets
             if self.sidecars.is_chosen(target) and self.sidecars.may_be_asked(target)
         )
-        return by_preference(
+        return rank_targets(
             able,
             lambda target: self.sidecars.load_of(target, now_s),
             self.around,
--- a/src/wisteriapulley/direct/registry.py
+++ b/src/wisteriapulley/direct/registry.py
@@ -4,9 +4,9 @@
 from typing import NamedTuple
 
 from wisteriapulley.control.targets import includes, is_newer, merge
+from wisteriapulley.policy.advertised_rate import RateTracker
 from wisteriapulley.policy.circuit_breaker import CircuitBreaker, SendOutcome
-from wisteriapulley.policy.stated_rate import KnownRate
-from wisteriapulley.policy.statements import KnownRest, Statements
+from wisteriapulley.policy.response_signals import CooldownTracker, ResponseSignals
 from wisteriapulley.wire.messages import TargetBeat, TargetState
 
 # Silence after which a target counts as gone, while others are still heard of.
@@ -81,8 +81,8 @@
         self.samples = 0
         self.aside_until_s = 0.0
         self.replaced = False
-        self.rate = KnownRate()
-        self.rest = KnownRest()
+        self.rate = RateTracker()
+        self.rest = CooldownTracker()
         self.said_leaving = False
         self.breaker = CircuitBreaker()
 
@@ -117,12 +117,12 @@
     def sent(self, now_s: float) -> None:
         """Note that a request goes here."""
         self.outstanding += 1
-        self.breaker.sent(now_s)
+        self.breaker.record_sent(now_s)
 
     def ended(self, sent_s: float, now_s: float, outcome: SendOutcome) -> None:
         """Note that a request is here no more, and what became of it."""
         self.outstanding -= 1
-        self.breaker.ended(outcome, sent_s, now_s, self.rest.wait_s(now_s) > 0)
+        self.breaker.record_outcome(outcome, sent_s, now_s, self.rest.wait_s(now_s) > 0)
 
     def unreachable(self, now_s: float) -> None:
         """Note that it could not be reached."""
@@ -136,7 +136,7 @@
         if not failed:
             self.down_s = DOWN_FIRST_S
 
-    def hear(self, says: Statements, sent_s: float, now_s: float) -> Heard:
+    def hear(self, says: ResponseSignals, sent_s: float, now_s: float) -> Heard:
         """Take in what an answer of this very incarnation says of it.
 
         Parameters
@@ -153,8 +153,8 @@
         leaving = says.leaving and not self.said_leaving
         self.said_leaving |= says.leaving
         return Heard(
-            self.rate.hear(says.rate, sent_s, now_s),
-            self.rest.hear(says.rest, now_s),
+            self.rate.observe(says.rate, sent_s, now_s),
+            self.rest.observe(says.cooldown, now_s),
             leaving,
         )
 
@@ -183,7 +183,7 @@
             return float("inf")
         until_s = max(self.down_until_s, self.aside_until_s, self.rest.until_s)
         wait_s = until_s - now_s if until_s > now_s else 0.0
-        if self.breaker.allowed:
+        if self.breaker.probe_limit:
             return max(wait_s, self.breaker.wait_s(now_s, is_last))
         return wait_s
 
--- a/src/wisteriapulley/direct/sending.py
+++ b/src/wisteriapulley/direct/sending.py
@@ -331,7 +331,7 @@
                 admitted.request.request_id,
                 target=target.target_id,
                 status=head.status,
-                rest_s=says.rest.seconds,
+                rest_s=says.cooldown.seconds,
                 leaving=says.leaving,
                 load=says.load,
             ),
@@ -363,9 +363,9 @@
     Other refusals are for the request's sake, and tell nothing of the target.
     """
     busy = head.not_run and head.status in (UNAVAILABLE, TOO_MANY_REQUESTS)
-    if busy or head.says.rest.seconds:
-        return SendOutcome.TURNED_AWAY
-    return SendOutcome.UNKNOWN if head.not_run else SendOutcome.TAKEN
+    if busy or head.says.cooldown.seconds:
+        return SendOutcome.REJECTED
+    return SendOutcome.UNKNOWN if head.not_run else SendOutcome.ACCEPTED
 
 
 def patience_s(route: Route, remaining_s: float, has_sends_left: bool) -> float | None:
--- a/src/wisteriapulley/direct/sidecars.py
+++ b/src/wisteriapulley/direct/sidecars.py
@@ -11,9 +11,9 @@
 from wisteriapulley.direct.settings import DirectSettings
 from wisteriapulley.errors import ResultCode, WisteriapulleyError
 from wisteriapulley.policy.answer_times import AnswerTimes
-from wisteriapulley.policy.choice import Load
 from wisteriapulley.policy.circuit_breaker import SendOutcome
 from wisteriapulley.policy.subset import Member, SubsetLimits, choose_subset
+from wisteriapulley.policy.target_ranking import Load
 from wisteriapulley.regions import Regions
 from wisteriapulley.settings import Address
 from wisteriapulley.wire import Frame, Link, messages
@@ -28,7 +28,7 @@
 # Sidecars that one entry asks, of each service. A request is offered to six at most,
 # so that this leaves a choice among several times as many; those of the own region
 # come first, since bytes between regions are dear and their links narrow.
-LINKS = SubsetLimits(total=28, near=22)
+LINKS = SubsetLimits(total=28, same_region=22)
 # What a sidecar says in its heartbeats: it grants nothing now, or nothing yet.
 CLOSED_STATE = "closed"
 OPENING_STATE = "opening"
@@ -228,12 +228,12 @@
         loop = asyncio.get_running_loop()
         asked_s = loop.time()
         try:
-            frame = await call.reply(self.times.patience_s())
+            frame = await call.reply(self.times.max_wait_s())
         except WisteriapulleyError as error:
             if error.code is ResultCode.LINK_TIMEOUT:
-                self.times.silent(host, loop.time())
+                self.times.record_timeout(host, loop.time())
             raise
-        self.times.answered(host, loop.time() - asked_s, loop.time())
+        self.times.record_answer(host, loop.time() - asked_s, loop.time())
         return frame
 
     def give_back(
@@ -248,6 +248,6 @@
         Only entries see whether the engine took what its sidecar granted.
         """
         if not link.closed.is_set():
-            taken = outcome is SendOutcome.TAKEN
-            turned_away = outcome is SendOutcome.TURNED_AWAY
+            taken = outcome is SendOutcome.ACCEPTED
+            turned_away = outcome is SendOutcome.REJECTED
             link.post(messages.Release(request_id, taken, turned_away, rests))
--- a/src/wisteriapulley/direct/types.py
+++ b/src/wisteriapulley/direct/types.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from wisteriapulley.policy.statements import Statements
+from wisteriapulley.policy.response_signals import ResponseSignals
 
 Headers = tuple[tuple[str, str], ...]
 
@@ -154,7 +154,7 @@
     length: int | None
     not_run: bool
     other_instance: bool
-    says: Statements
+    says: ResponseSignals
 
     def parts(self) -> AsyncIterator[bytes]:
         """Yield the body as it comes.
--- a/src/wisteriapulley/emulator/engine.py
+++ b/src/wisteriapulley/emulator/engine.py
@@ -10,7 +10,7 @@
     """A request at an engine."""
 
     request_id: str
-    prompt: int
+    prompt_tokens: int
     events: int
 
 
@@ -29,70 +29,70 @@
 
     def __init__(
         self,
-        figures: Engine,
-        later: Callable[[float, Callable[[], None]], None],
+        parameters: Engine,
+        schedule: Callable[[float, Callable[[], None]], None],
         on_first: Callable[[str], None],
         on_end: Callable[[str], None],
     ):
-        self.figures = figures
-        self.later = later
+        self.parameters = parameters
+        self.schedule = schedule
         self.on_first = on_first
         self.on_end = on_end
         self.waiting: list[Job] = []
         self.running: dict[str, int] = {}
-        self.fresh: set[str] = set()
-        self.passing = False
-        self.loading_ms = 0.0
+        self.before_first_event: set[str] = set()
+        self.step_running = False
+        self.load_ms = 0.0
         self.on_loaded: Callable[[], None] | None = None
-        self.busy_slots_ms = 0.0
+        self.busy_slot_ms = 0.0
 
-    def send(self, job: Job) -> None:
+    def submit(self, job: Job) -> None:
         """Take a request."""
         self.waiting.append(job)
-        if not self.passing:
-            self.begin_pass()
+        if not self.step_running:
+            self.begin_batch_step()
 
-    def load(self, takes_ms: float, on_loaded: Callable[[], None]) -> None:
+    def load(self, load_ms: float, on_loaded: Callable[[], None]) -> None:
         """Load new weights once all that is here has ended."""
-        self.loading_ms, self.on_loaded = takes_ms, on_loaded
-        if not self.passing:
-            self.begin_pass()
+        self.load_ms, self.on_loaded = load_ms, on_loaded
+        if not self.step_running:
+            self.begin_batch_step()
 
-    def begin_pass(self) -> None:
+    def begin_batch_step(self) -> None:
         """Read the prompts that came, and run the steps of a pass."""
-        reading = 0.0
-        while self.waiting and len(self.running) < self.figures.slots:
+        prefill_ms = 0.0
+        while self.waiting and len(self.running) < self.parameters.slots:
             job = self.waiting.pop(0)
-            reading += job.prompt / self.figures.prefill_tokens_per_ms
+            prefill_ms += job.prompt_tokens / self.parameters.prefill_tokens_per_ms
             self.running[job.request_id] = job.events
-            self.fresh.add(job.request_id)
+            self.before_first_event.add(job.request_id)
         if not self.running:
-            self.passing = False
+            self.step_running = False
             self.begin_load()
             return
-        self.passing = True
-        step = self.figures.step_ms + (
-            self.figures.step_ms_per_request * len(self.running)
+        self.step_running = True
+        decode_step_ms = self.parameters.step_ms + (
+            self.parameters.step_ms_per_request * len(self.running)
         )
-        takes_ms = step * self.figures.stride + reading
-        self.busy_slots_ms += len(self.running) * takes_ms
-        self.later(takes_ms, self.end_pass)
+        batch_step_ms = decode_step_ms * self.parameters.stride + prefill_ms
+        self.busy_slot_ms += len(self.running) * batch_step_ms
+        self.schedule(batch_step_ms, self.end_batch_step)
 
-    def end_pass(self) -> None:
+    def end_batch_step(self) -> None:
         """Make an event of each request."""
         for request_id in tuple(self.running):
-            if request_id in self.fresh:
-                self.fresh.discard(request_id)
+            if request_id in self.before_first_event:
+                self.before_first_event.discard(request_id)
                 self.on_first(request_id)
             self.running[request_id] -= 1
             if not self.running[request_id]:
                 del self.running[request_id]
                 self.on_end(request_id)
-        self.begin_pass()
+        self.begin_batch_step()
 
     def begin_load(self) -> None:
         """Load, if that was ordered."""
         if self.on_loaded is None:
             return
-        done, self.on_loaded = self.on_loaded, None
-        self.later(self.loading_ms, done)
+        on_loaded, self.on_loaded = self.on_loaded, None
+        self.schedule(self.load_ms, on_loaded)
--- a/src/wisteriapulley/emulator/experiment.py
+++ b/src/wisteriapulley/emulator/experiment.py
@@ -9,13 +9,13 @@
 VARIANTS = {
     "as built": {},
     "no change of weights": {"change_s": 0.0},
-    "change: long requests refused early (overrun 100 ms)": {"overrun_ms": 100.0},
-    "change: anything admitted until it": {"overrun_ms": 9000.0},
-    "no extra place": {"extra_places": 0},
-    "three extra places": {"extra_places": 3},
-    "two sidecars asked": {"asked": 2},
-    "late requests compete with new ones": {"late_last": False},
-    "refused callers come back in 250 ms": {"spread_returns": False},
+    "change: long requests refused early (overrun 100 ms)": {"max_overrun_ms": 100.0},
+    "change: anything admitted until it": {"max_overrun_ms": 9000.0},
+    "no extra place": {"extra_slots": 0},
+    "three extra places": {"extra_slots": 3},
+    "two sidecars asked": {"max_asked": 2},
+    "late requests compete with new ones": {"deprioritize_late": False},
+    "refused callers come back in 250 ms": {"spread_retries": False},
     "no margin for the network": {"margin_ms": 0.0},
 }
 
@@ -28,22 +28,22 @@
     late: float
     refused: float
     worth: float
-    worst: float
+    worst_window: float
 
 
-def run(base: Scenario, seeds: int) -> Iterator[Row]:
+def run_variants(base: Scenario, seeds: int) -> Iterator[Row]:
     """Play every variant with the same seeds."""
     for name, changes in VARIANTS.items():
         outcomes = [
-            Fleet(base._replace(seed=seed, **changes)).play()
+            Fleet(base._replace(seed=seed, **changes)).run()
             for seed in range(1, seeds + 1)
         ]
-        yield mean(name, outcomes)
+        yield average(name, outcomes)
 
 
-def mean(name: str, outcomes: list[Outcome]) -> Row:
+def average(name: str, outcomes: list[Outcome]) -> Row:
     """Average outcomes; the first three columns are shares of the requests."""
-    asked = sum(o.asked for o in outcomes)
+    asked = sum(o.requests for o in outcomes)
     return Row(
         name,
         sum(o.in_time for o in outcomes) / asked,
@@ -54,7 +54,7 @@
     )
 
 
-def table(rows: Iterator[Row]) -> Iterator[str]:
+def format_table(rows: Iterator[Row]) -> Iterator[str]:
     """Yield the lines of a Markdown table."""
     yield "| decision | in time | late | refused | worth | worst two seconds |"
     yield "| --- | --- | --- | --- | --- | --- |"
--- a/src/wisteriapulley/emulator/fleet.py
+++ b/src/wisteriapulley/emulator/fleet.py
@@ -16,21 +16,25 @@
     TRANSIT_MS,
 )
 from wisteriapulley.emulator.engine import EmulatedEngine, Job
-from wisteriapulley.emulator.mixes import ENGINE, MIXES, Kind, draw_sizes
-from wisteriapulley.policy.comeback import comeback_s
-from wisteriapulley.policy.places import PlaceRequest, Places, Verdict
-from wisteriapulley.policy.returning import Returning
+from wisteriapulley.emulator.mixes import ENGINE, MIXES, RequestKind, draw_sizes
+from wisteriapulley.policy.engine_slots import (
+    AdmissionDecision,
+    EngineSlots,
+    SlotRequest,
+)
+from wisteriapulley.policy.retry_after import retry_after_s
+from wisteriapulley.policy.retry_detection import RetryDetector
 from wisteriapulley.rollout.switch_order import SwitchRank, switch_due_ms
 
 LOAD_MS = 300.0
 # From a message to its receiver; regions are left out.
-HOP_MS = 1.0
-ADVANCE_MS = 20.0
+NETWORK_DELAY_MS = 1.0
+ADVANCE_INTERVAL_MS = 20.0
 # A refused caller comes back once.
-RETURNS = 1
+MAX_RETRIES = 1
 ESTIMATE_SPREAD = 0.5
 # The most that a caller waits in all.
-PATIENCE_MS = 6000.0
+MAX_CALLER_WAIT_MS = 6000.0
 
 
 class Scenario(NamedTuple):
@@ -77,16 +81,16 @@
     load: float = 0.9
     seconds: float = 30.0
     change_s: float = 10.0
-    copy_ms: float = 4450.0
-    old_version_ms: float = 8000.0
+    download_ms: float = 4450.0
+    superseded_ms: float = 8000.0
     margin_ms: float = TRANSIT_MS
-    overrun_ms: float = 800.0
-    extra_places: int = 1
-    asked: int = MOST_ASKED
-    late_last: bool = True
-    spread_returns: bool = True
-    patience_spread: float = 0.15
-    limited: int = 0
+    max_overrun_ms: float = 800.0
+    extra_slots: int = 1
+    max_asked: int = MOST_ASKED
+    deprioritize_late: bool = True
+    spread_retries: bool = True
+    max_wait_spread: float = 0.15
+    limited_engines: int = 0
     limit_per_s: float = 1.2
     seed: int = 1
 
@@ -104,7 +108,7 @@
         The same in the worst two seconds.
     """
 
-    asked: int
+    requests: int
     in_time: int
     late: int
     refused: int
@@ -112,32 +116,32 @@
     worst: float
 
 
-class Ask:
+class EmulatedRequest:
     """One request on its way."""
 
     def __init__(
         self,
-        number: int,
-        kind: Kind,
+        sequence: int,
+        kind: RequestKind,
         prompt: int,
         events: int,
         expected: int,
         at_ms: float,
-        patience_ms: float,
+        max_wait_ms: float,
     ):
-        self.request_id = f"r{number}"
-        self.patience_ms = patience_ms
-        self.returned = False
+        self.request_id = f"r{sequence}"
+        self.max_wait_ms = max_wait_ms
+        self.is_retry = False
         self.kind = kind
         self.prompt = prompt
         self.events = events
         self.expected = expected
         self.at_ms = at_ms
-        self.order: list[int] = []
-        self.tries = 0
-        self.returns = 0
-        self.earned = 0.0
-        self.end = "refused"
+        self.candidates: list[int] = []
+        self.asks_left = 0
+        self.retries = 0
+        self.earned_worth = 0.0
+        self.outcome = "refused"
 
 
 class Fleet:
@@ -146,224 +150,236 @@
     def __init__(self, scenario: Scenario):
         self.scenario = scenario
         self.rng = random.Random(scenario.seed)
-        self.patience_rng = random.Random(scenario.seed)
-        self.returning = Returning()
+        self.max_wait_rng = random.Random(scenario.seed)
+        self.retry_detector = RetryDetector()
         self.now_ms = 0.0
-        self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = 0
-        self.asks: dict[str, Ask] = {}
-        self.held_at: dict[str, int] = {}
-        self.waiting: dict[str, Ask] = {}
-        self.places = [self.new_places() for _ in range(scenario.engines)]
-        for places in self.places[: scenario.limited]:
-            places.rates.hear("", scenario.limit_per_s, 0.0)
+        self.events: list[tuple[float, int, Callable[[], None]]] = []
+        self.last_sequence = 0
+        self.requests: dict[str, EmulatedRequest] = {}
+        self.asked_engine: dict[str, int] = {}
+        self.waiting: dict[str, EmulatedRequest] = {}
+        self.engine_slots = [self.new_engine_slots() for _ in range(scenario.engines)]
+        for places in self.engine_slots[: scenario.limited_engines]:
+            places.rate_limits.update("", scenario.limit_per_s, 0.0)
         self.engines = [
-            EmulatedEngine(ENGINE, self.later, self.first_event, self.ended)
+            EmulatedEngine(
+                ENGINE, self.schedule, self.record_first_event, self.release_slot
+            )
             for _ in range(scenario.engines)
         ]
 
-    def new_places(self) -> Places:
+    def new_engine_slots(self) -> EngineSlots:
         """Make the places of one engine."""
-        places = Places(ENGINE, self.scenario.extra_places, self.scenario.overrun_ms)
-        places.open = True
-        return places
+        slots = EngineSlots(
+            ENGINE, self.scenario.extra_slots, self.scenario.max_overrun_ms
+        )
+        slots.open = True
+        return slots
 
-    def later(self, delay_ms: float, call: Callable[[], None]) -> None:
+    def schedule(self, delay_ms: float, call: Callable[[], None]) -> None:
         """Call a function after a time."""
-        self.numbers += 1
-        heapq.heappush(self.queue, (self.now_ms + delay_ms, self.numbers, call))
+        self.last_sequence += 1
+        heapq.heappush(self.events, (self.now_ms + delay_ms, self.last_sequence, call))
 
-    def play(self) -> Outcome:
+    def run(self) -> Outcome:
         """Run the scenario."""
-        self.arrive()
-        self.advance_all()
+        self.generate_arrival()
+        self.advance_all_queues()
         if self.scenario.change_s:
-            self.plan_changes()
-        end_ms = self.scenario.seconds * 1000 + PATIENCE_MS
-        while self.queue and self.queue[0][0] < end_ms:
-            self.now_ms, _, call = heapq.heappop(self.queue)
+            self.schedule_changes()
+        end_ms = self.scenario.seconds * 1000 + MAX_CALLER_WAIT_MS
+        while self.events and self.events[0][0] < end_ms:
+            self.now_ms, _, call = heapq.heappop(self.events)
             call()
-        return self.outcome()
+        return self.summarize()
 
     # -- requests --------------------------------------------------------
 
-    def arrive(self) -> None:
+    def generate_arrival(self) -> None:
         """Let the next request come, and the one after it."""
         mix = MIXES[self.scenario.mix]
         if self.now_ms > self.scenario.seconds * 1000:
             return
-        weights = [kind.share for kind in mix.kinds]
+        weights = [kind.relative_rate for kind in mix.kinds]
         kind = self.rng.choices(mix.kinds, weights)[0]
         prompt, events = draw_sizes(self.rng, kind)
         # Callers' estimates are right in the median only.
-        off = self.rng.lognormvariate(0.0, ESTIMATE_SPREAD)
-        expected = max(1, round(events * off))
-        impatience = self.scenario.patience_spread * self.patience_rng.random()
-        patience_ms = PATIENCE_MS * (1 - impatience)
-        ask = Ask(
-            len(self.asks), kind, prompt, events, expected, self.now_ms, patience_ms
+        error = self.rng.lognormvariate(0.0, ESTIMATE_SPREAD)
+        expected = max(1, round(events * error))
+        reduction = self.scenario.max_wait_spread * self.max_wait_rng.random()
+        max_wait_ms = MAX_CALLER_WAIT_MS * (1 - reduction)
+        request = EmulatedRequest(
+            len(self.requests), kind, prompt, events, expected, self.now_ms, max_wait_ms
         )
-        self.asks[ask.request_id] = ask
-        self.offer(ask)
+        self.requests[request.request_id] = request
+        self.submit(request)
         gap_ms = self.rng.expovariate(mix.per_s * self.scenario.load / 1000)
-        self.later(gap_ms, self.arrive)
+        self.schedule(gap_ms, self.generate_arrival)
 
-    def offer(self, ask: Ask) -> None:
+    def submit(self, request: EmulatedRequest) -> None:
         """Choose the order in which sidecars are asked, and ask the first."""
-        stated_s = self.patience_left_ms(ask) / 1000
-        ask.returned = self.returning.has_returned(stated_s, self.now_ms / 1000)
-        able = [n for n, places in enumerate(self.places) if places.open]
-        able.sort(key=lambda n: (self.load_of(n), self.rng.random()))
-        ask.order, ask.tries = able, self.scenario.asked
-        self.ask_next(ask)
-
-    def load_of(self, number: int) -> int:
+        remaining_s = self.remaining_wait_ms(request) / 1000
+        request.is_retry = self.retry_detector.is_retry(remaining_s, self.now_ms / 1000)
+        open_engines = [n for n, places in enumerate(self.engine_slots) if places.open]
+        open_engines.sort(key=lambda n: (self.reported_load(n), self.rng.random()))
+        request.candidates, request.asks_left = open_engines, self.scenario.max_asked
+        self.ask_next_engine(request)
+
+    def reported_load(self, number: int) -> int:
         """Return what an engine's sidecar says of its load."""
-        places = self.places[number]
-        return len(places.held) + len(places.queue)
+        slots = self.engine_slots[number]
+        return len(slots.grants) + len(slots.queue)
 
-    def ask_next(self, ask: Ask) -> None:
+    def ask_next_engine(self, request: EmulatedRequest) -> None:
         """Ask sidecars in turn until one grants a place or lets it wait."""
-        while ask.order and ask.tries:
-            number = ask.order.pop(0)
-            verdict = self.places[number].ask(self.wish(ask), self.now_ms)
-            self.held_at[ask.request_id] = number
-            if verdict.granted:
-                self.send(ask, number)
+        while request.candidates and request.asks_left:
+            number = request.candidates.pop(0)
+            decision = self.engine_slots[number].request_slot(
+                self.slot_request(request), self.now_ms
+            )
+            self.asked_engine[request.request_id] = number
+            if decision.granted:
+                self.send_to_engine(request, number)
                 return
-            if not verdict.denied:
-                self.waiting[ask.request_id] = ask
+            if not decision.denied:
+                self.waiting[request.request_id] = request
                 return
-            ask.tries -= not verdict.limited
-        self.refuse(ask)
+            request.asks_left -= not decision.limited
+        self.schedule_retry(request)
 
-    def wish(self, ask: Ask) -> PlaceRequest:
+    def slot_request(self, request: EmulatedRequest) -> SlotRequest:
         """Make the wish for a place; one that is late goes last."""
-        left_ms = ask.kind.objective_ms - (self.now_ms - ask.at_ms)
-        left_ms -= self.scenario.margin_ms
-        late = left_ms <= 0 or ask.returned
-        return PlaceRequest(
-            ask.request_id,
+        remaining_ms = request.kind.objective_ms - (self.now_ms - request.at_ms)
+        remaining_ms -= self.scenario.margin_ms
+        late = remaining_ms <= 0 or request.is_retry
+        return SlotRequest(
+            request.request_id,
             "entry",
-            ask.prompt,
-            ask.expected * ENGINE.stride,
+            request.prompt,
+            request.expected * ENGINE.stride,
             LATE_PRIORITY if late else 1,
-            LATE_WAIT_MS if late else left_ms,
-            late and self.scenario.late_last,
+            LATE_WAIT_MS if late else remaining_ms,
+            late and self.scenario.deprioritize_late,
         )
 
-    def refuse(self, ask: Ask) -> None:
+    def schedule_retry(self, request: EmulatedRequest) -> None:
         """Let a caller come back once, within a share of the time it has left."""
-        if ask.returns >= RETURNS:
+        if request.retries >= MAX_RETRIES:
             return
-        ask.returns += 1
-        self.returning.refused(self.now_ms / 1000)
-        left_s = self.patience_left_ms(ask) / 1000
-        pause_s = comeback_s(
-            self.scenario.spread_returns, 0.25, left_s, self.rng.random
+        request.retries += 1
+        self.retry_detector.record_refusal(self.now_ms / 1000)
+        remaining_s = self.remaining_wait_ms(request) / 1000
+        delay_s = retry_after_s(
+            self.scenario.spread_retries, 0.25, remaining_s, self.rng.random
         )
-        self.later(pause_s * 1000, lambda: self.offer(ask))
+        self.schedule(delay_s * 1000, lambda: self.submit(request))
 
-    def patience_left_ms(self, ask: Ask) -> float:
+    def remaining_wait_ms(self, request: EmulatedRequest) -> float:
         """Return how long a caller still waits."""
-        return ask.patience_ms - (self.now_ms - ask.at_ms)
+        return request.max_wait_ms - (self.now_ms - request.at_ms)
 
-    def send(self, ask: Ask, number: int) -> None:
+    def send_to_engine(self, request: EmulatedRequest, number: int) -> None:
         """Send a request to its engine."""
-        job = Job(ask.request_id, ask.prompt, ask.events)
-        self.later(2 * HOP_MS, lambda: self.engines[number].send(job))
+        job = Job(request.request_id, request.prompt, request.events)
+        self.schedule(2 * NETWORK_DELAY_MS, lambda: self.engines[number].submit(job))
 
-    def first_event(self, request_id: str) -> None:
+    def record_first_event(self, request_id: str) -> None:
         """Note when a first event came."""
-        ask = self.asks[request_id]
-        in_time = self.now_ms - ask.at_ms <= ask.kind.objective_ms
-        ask.end = "in_time" if in_time else "late"
-        ask.earned = ask.kind.worth if in_time else ask.kind.late_worth
+        request = self.requests[request_id]
+        in_time = self.now_ms - request.at_ms <= request.kind.objective_ms
+        request.outcome = "in_time" if in_time else "late"
+        request.earned_worth = (
+            request.kind.worth if in_time else request.kind.late_worth
+        )
 
-    def ended(self, request_id: str) -> None:
+    def release_slot(self, request_id: str) -> None:
         """Give the place back, a moment later."""
-        number = self.held_at[request_id]
+        number = self.asked_engine[request_id]
 
         def give_back() -> None:
-            self.places[number].release(request_id, self.now_ms)
-            self.advance(number)
+            self.engine_slots[number].release(request_id, self.now_ms)
+            self.advance_queue(number)
 
-        self.later(2 * HOP_MS, give_back)
+        self.schedule(2 * NETWORK_DELAY_MS, give_back)
 
-    def advance_all(self) -> None:
+    def advance_all_queues(self) -> None:
         """Look at all queues now and then, as sidecars do."""
-        for number in range(len(self.places)):
-            self.advance(number)
-        self.later(ADVANCE_MS, self.advance_all)
+        for number in range(len(self.engine_slots)):
+            self.advance_queue(number)
+        self.schedule(ADVANCE_INTERVAL_MS, self.advance_all_queues)
 
-    def advance(self, number: int) -> None:
+    def advance_queue(self, number: int) -> None:
         """Tell those that waited what became of them."""
-        for verdict in tuple(self.places[number].advance(self.now_ms)):
-            self.decided(verdict, number)
+        for decision in tuple(self.engine_slots[number].advance(self.now_ms)):
+            self.apply_decision(decision, number)
 
-    def decided(self, verdict: Verdict, number: int) -> None:
+    def apply_decision(self, decision: AdmissionDecision, number: int) -> None:
         """Go on with a request that waited."""
-        ask = self.waiting.pop(verdict.request_id)
-        if verdict.granted:
-            self.send(ask, number)
+        request = self.waiting.pop(decision.request_id)
+        if decision.granted:
+            self.send_to_engine(request, number)
         else:
-            self.ask_next(ask)
+            self.ask_next_engine(request)
 
     # -- weights ---------------------------------------------------------
 
-    def plan_changes(self) -> None:
+    def schedule_changes(self) -> None:
         """Let each engine change in its turn."""
         scenario = self.scenario
         for number in range(scenario.engines):
             turn = SwitchRank(number, scenario.engines)
-            due = switch_due_ms(turn, scenario.copy_ms, scenario.old_version_ms)
+            due = switch_due_ms(turn, scenario.download_ms, scenario.superseded_ms)
             at_ms = scenario.change_s * 1000 + due
-            self.later(scenario.change_s * 1000, self.announcer(number, at_ms))
-            self.later(at_ms, self.changer(number))
+            self.schedule(
+                scenario.change_s * 1000, self.change_announcement(number, at_ms)
+            )
+            self.schedule(at_ms, self.change_action(number))
 
-    def announcer(self, number: int, at_ms: float) -> Callable[[], None]:
+    def change_announcement(self, number: int, at_ms: float) -> Callable[[], None]:
         """Make the call that tells an engine's places of its change."""
 
         def announce() -> None:
-            self.places[number].closes_ms = at_ms
+            self.engine_slots[number].closes_at_ms = at_ms
 
         return announce
 
-    def changer(self, number: int) -> Callable[[], None]:
+    def change_action(self, number: int) -> Callable[[], None]:
         """Make the call that lets an engine change."""
 
         def opened() -> None:
-            self.places[number].open = True
-            self.places[number].closes_ms = None
+            self.engine_slots[number].open = True
+            self.engine_slots[number].closes_at_ms = None
 
         def change() -> None:
-            self.places[number].close()
-            self.advance(number)
+            self.engine_slots[number].close()
+            self.advance_queue(number)
             self.engines[number].load(LOAD_MS, opened)
 
         return change
 
     # -- the end ---------------------------------------------------------
 
-    def outcome(self) -> Outcome:
+    def summarize(self) -> Outcome:
         """Sum up."""
-        asks = list(self.asks.values())
-        ends = [ask.end for ask in asks]
-        windows: dict[int, list[Ask]] = {}
-        for ask in asks:
-            windows.setdefault(int(ask.at_ms // 2000), []).append(ask)
-        whole = [w for w in windows.values() if len(w) > len(asks) / len(windows) / 2]
+        requests = list(self.requests.values())
+        outcomes = [request.outcome for request in requests]
+        windows: dict[int, list[EmulatedRequest]] = {}
+        for request in requests:
+            windows.setdefault(int(request.at_ms // 2000), []).append(request)
+        full_windows = [
+            w for w in windows.values() if len(w) > len(requests) / len(windows) / 2
+        ]
         return Outcome(
-            len(asks),
-            ends.count("in_time"),
-            ends.count("late"),
-            ends.count("refused"),
-            share(asks),
-            min(map(share, whole)),
+            len(requests),
+            outcomes.count("in_time"),
+            outcomes.count("late"),
+            outcomes.count("refused"),
+            earned_fraction(requests),
+            min(map(earned_fraction, full_windows)),
         )
 
 
-def share(asks: list[Ask]) -> float:
+def earned_fraction(requests: list[EmulatedRequest]) -> float:
     """Return the share of the worth that requests earned."""
-    owed = sum(ask.kind.worth for ask in asks)
-    return sum(ask.earned for ask in asks) / owed if owed else 1.0
+    owed = sum(request.kind.worth for request in requests)
+    return sum(request.earned_worth for request in requests) / owed if owed else 1.0
--- a/src/wisteriapulley/emulator/mixes.py
+++ b/src/wisteriapulley/emulator/mixes.py
@@ -10,7 +10,7 @@
 ENGINE = Engine("model", 16, 5, 9.27, 0.0232, 20.7, 16, 64, 32768)
 
 
-class Kind(NamedTuple):
+class RequestKind(NamedTuple):
     """One kind of request.
 
     Attributes
@@ -30,7 +30,7 @@
     """
 
     name: str
-    share: float
+    relative_rate: float
     prompt: float
     events: float
     prompt_spread: float
@@ -40,42 +40,46 @@
     late_worth: float
 
 
-class Mix(NamedTuple):
+class RequestMix(NamedTuple):
     """Kinds of one user, and how many requests come in a second at the peak."""
 
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     per_s: float
 
 
 MIXES = {
-    "trinacria": Mix(
+    "trinacria": RequestMix(
         (
-            Kind("perizia", 30.8, 1290, 20.3, 1.0, 0.89, 500, 2.4, 0.6),
-            Kind("scheda-lotto", 23.4, 787, 20.3, 1.0, 0.69, 400, 2.0, 0.49),
-            Kind("sintesi-offerte", 21.7, 607, 13.9, 0.96, 0.9, 400, 1.5, 0.37),
+            RequestKind("perizia", 30.8, 1290, 20.3, 1.0, 0.89, 500, 2.4, 0.6),
+            RequestKind("scheda-lotto", 23.4, 787, 20.3, 1.0, 0.69, 400, 2.0, 0.49),
+            RequestKind("sintesi-offerte", 21.7, 607, 13.9, 0.96, 0.9, 400, 1.5, 0.37),
         ),
         75.9,
     ),
-    "lettercraft": Mix(
+    "lettercraft": RequestMix(
         (
-            Kind("summarise", 41.1, 1290, 20.3, 1.0, 0.89, 500, 2.4, 0.6),
-            Kind("addrdraft", 31.1, 787, 20.3, 1.0, 0.69, 400, 2.0, 0.49),
-            Kind("postcheck", 29.0, 607, 13.9, 0.96, 0.9, 400, 1.5, 0.37),
+            RequestKind("summarise", 41.1, 1290, 20.3, 1.0, 0.89, 500, 2.4, 0.6),
+            RequestKind("addrdraft", 31.1, 787, 20.3, 1.0, 0.69, 400, 2.0, 0.49),
+            RequestKind("postcheck", 29.0, 607, 13.9, 0.96, 0.9, 400, 1.5, 0.37),
         ),
         101.2,
     ),
 }
-MOST_EVENTS = 50
-MOST_PROMPTS = 3.0
+MAX_EVENTS = 50
+MAX_PROMPT_FACTOR = 3.0
 
 
-def draw(rng: random.Random, mean: float, spread: float, most: float) -> float:
+def draw_log_normal(
+    rng: random.Random, mean: float, spread: float, maximum: float
+) -> float:
     """Draw from a log-normal distribution of this mean, cut at `most`."""
-    return min(most, rng.lognormvariate(math.log(mean) - spread**2 / 2, spread))
+    return min(maximum, rng.lognormvariate(math.log(mean) - spread**2 / 2, spread))
 
 
-def draw_sizes(rng: random.Random, kind: Kind) -> tuple[int, int]:
+def draw_sizes(rng: random.Random, kind: RequestKind) -> tuple[int, int]:
     """Draw the prompt tokens and the events of one request."""
-    prompt = draw(rng, kind.prompt, kind.prompt_spread, kind.prompt * MOST_PROMPTS)
-    events = draw(rng, kind.events, kind.event_spread, MOST_EVENTS)
+    prompt = draw_log_normal(
+        rng, kind.prompt, kind.prompt_spread, kind.prompt * MAX_PROMPT_FACTOR
+    )
+    events = draw_log_normal(rng, kind.events, kind.event_spread, MAX_EVENTS)
     return max(1, int(prompt)), max(1, round(events))
--- a/src/wisteriapulley/entry/dispatch.py
+++ b/src/wisteriapulley/entry/dispatch.py
@@ -84,7 +84,7 @@
             The request was refused or failed. The code says "not run" only if no
             attempt has run.
         """
-        self.retry_budget.admitted()
+        self.retry_budget.record_admitted()
         uncertain_error = None
         avoid: set[str] = set()
         for attempt in itertools.count(1):
--- a/src/wisteriapulley/entry/placing.py
+++ b/src/wisteriapulley/entry/placing.py
@@ -77,7 +77,7 @@
         limit = entry.limits.in_flight
         if avoid:
             return self.take_slot(work, self.place_retry(work, views, limit, now_s))
-        node_id = self.scheduler.offer(work, views, limit, now_s)
+        node_id = self.scheduler.submit(work, views, limit, now_s)
         if node_id is not None:
             return self.take_slot(work, node_id)
         return await self.wait_in_queue(work)
@@ -86,11 +86,11 @@
         self, work: Work, views: list[TargetView], limit: int, now_s: float
     ) -> str:
         """Assign a retry to a target without queueing it a second time."""
-        room = self.scheduler.room(views, limit)
+        room = self.scheduler.available_targets(views, limit)
         if not room:
             code = ResultCode.OVERLOADED if views else ResultCode.NO_TARGET
             raise RequestError(code, "no other target has a free slot", RETRY_AFTER_MS)
-        return self.scheduler.place(work, room, now_s)
+        return self.scheduler.start(work, room, now_s)
 
     def take_slot(self, work: Work, node_id: str) -> Slot:
         """Return the slot at the target that the scheduler chose."""
@@ -109,7 +109,7 @@
         future = asyncio.get_running_loop().create_future()
         self.queued_futures[work.id] = future
         remaining_s = work.deadline_s - time.monotonic()
-        longest_s = self.scheduler.times.longest(work)
+        longest_s = self.scheduler.times.upper_bound(work)
         try:
             async with asyncio.timeout(max(0.0, remaining_s - longest_s)):
                 return await future
@@ -144,8 +144,8 @@
 
     def sweep(self) -> None:
         """Detect slow targets and use slots that other entries have freed."""
-        self.scheduler.suspect(time.monotonic())
-        self.scheduler.outliers.keep(self.targets.targets)
+        self.scheduler.record_overdue(time.monotonic())
+        self.scheduler.outliers.retain(self.targets.targets)
         self.start_queued()
 
 
--- a/src/wisteriapulley/platform/engine.py
+++ b/src/wisteriapulley/platform/engine.py
@@ -9,7 +9,7 @@
 from wisteriapulley.platform import names
 from wisteriapulley.platform.http import HttpClient
 from wisteriapulley.platform.statements import parse_statements
-from wisteriapulley.policy.statements import KnownRest, Statements
+from wisteriapulley.policy.response_signals import CooldownTracker, ResponseSignals
 from wisteriapulley.rollout.engine import EngineReport, OrderOutcome
 from wisteriapulley.settings import Address
 
@@ -71,7 +71,7 @@
     def __init__(self, http: HttpClient, address: Address):
         self.http = http
         self.base = f"http://{address}"
-        self.cooldown = KnownRest()
+        self.cooldown = CooldownTracker()
 
     async def call(
         self, method: str, path: str, **options: object
@@ -82,7 +82,7 @@
 
     async def answer(
         self, method: str, path: str, **options: object
-    ) -> tuple[int, bytes, Statements]:
+    ) -> tuple[int, bytes, ResponseSignals]:
         """Make one call; return status, body and what the engine says of itself.
 
         Raises
@@ -99,7 +99,7 @@
                 method, self.base + path, timeout=timeout, **options
             ) as response:
                 says = parse_statements(response.status, response.headers)
-                self.cooldown.hear(says.rest, loop.time())
+                self.cooldown.observe(says.cooldown, loop.time())
                 return response.status, await response.read(), says
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             raise unavailable(path, repr(error)) from error
--- a/src/wisteriapulley/platform/statements.py
+++ b/src/wisteriapulley/platform/statements.py
@@ -8,8 +8,12 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from wisteriapulley.platform import names
-from wisteriapulley.policy.stated_rate import StatedRate
-from wisteriapulley.policy.statements import StatedRest, Statements, TargetLoad
+from wisteriapulley.policy.advertised_rate import AdvertisedRate
+from wisteriapulley.policy.response_signals import (
+    RequestedCooldown,
+    ResponseSignals,
+    TargetLoad,
+)
 
 HttpHeaders = CIMultiDict[str] | CIMultiDictProxy[str]
 
@@ -19,7 +23,7 @@
 MOST_REST_S = 86_400.0
 
 
-def parse_statements(status: int, headers: HttpHeaders) -> Statements:
+def parse_statements(status: int, headers: HttpHeaders) -> ResponseSignals:
     """Read all that an answer says of its target.
 
     Parameters
@@ -29,7 +33,7 @@
     headers : multidict
         Its headers.
     """
-    return Statements(
+    return ResponseSignals(
         parse_load(headers.get(names.LOAD, "")),
         parse_rate(headers.getall(names.RATE, [])),
         parse_rest(status, headers),
@@ -45,7 +49,7 @@
     return None
 
 
-def parse_rate(texts: list[str]) -> StatedRate:
+def parse_rate(texts: list[str]) -> AdvertisedRate:
     """Read a target's stated rate; of several the lowest one that can be read."""
     rates, unreadable = [], ""
     for text in texts:
@@ -53,17 +57,17 @@
             rates.append(float(text))
         else:
             unreadable = text
-    return StatedRate(min(rates, default=None), unreadable)
+    return AdvertisedRate(min(rates, default=None), unreadable)
 
 
-def parse_rest(status: int, headers: HttpHeaders) -> StatedRest:
+def parse_rest(status: int, headers: HttpHeaders) -> RequestedCooldown:
     """Read the rest that a target asks for; of several the longest one.
 
     Only a refusal for the target's own state counts: with other statuses the header
     speaks of one request or one account (RFC 9110, 10.2.3; RFC 6585, 4).
     """
     if status != names.UNAVAILABLE_STATUS:
-        return StatedRest()
+        return RequestedCooldown()
     answered = headers.get(names.DATE, "")
     rests, unreadable = [], ""
     for text in headers.getall(names.REST, []):
@@ -72,7 +76,7 @@
             unreadable = text
         else:
             rests.append(min(MOST_REST_S, rest_s))
-    return StatedRest(max(rests, default=0.0), unreadable)
+    return RequestedCooldown(max(rests, default=0.0), unreadable)
 
 
 def parse_seconds(text: str, answered: str) -> float | None:
--- a/src/wisteriapulley/policy/admission.py
+++ b/src/wisteriapulley/policy/admission.py
@@ -10,19 +10,19 @@
 MAX_BUCKETS = 10_000
 
 
-class Bucket:
+class AccountBucket:
     """Token bucket of one client account under one entry."""
 
     def __init__(self, limits: Limits, now_s: float):
         self.limits = limits
         self.tokens = float(limits.burst)
-        self.at_s = now_s
+        self.refilled_s = now_s
 
     def take(self, now_s: float) -> float:
         """Take a token; return 0, or the seconds until one is there."""
-        gained = max(0.0, now_s - self.at_s) * self.limits.requests_per_s
+        gained = max(0.0, now_s - self.refilled_s) * self.limits.requests_per_s
         self.tokens = min(float(self.limits.burst), self.tokens + gained)
-        self.at_s = now_s
+        self.refilled_s = now_s
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
@@ -36,9 +36,9 @@
     it fills the queue that others share. The limit is the catalogue's.
     """
 
-    def __init__(self, limit: int = MAX_BUCKETS):
-        self.limit = limit
-        self.buckets: OrderedDict[tuple[str, str], Bucket] = OrderedDict()
+    def __init__(self, max_buckets: int = MAX_BUCKETS):
+        self.max_buckets = max_buckets
+        self.buckets: OrderedDict[tuple[str, str], AccountBucket] = OrderedDict()
 
     def admit(
         self, account: str, entry_name: str, limits: Limits, now_s: float
@@ -53,9 +53,9 @@
         key = (account, entry_name)
         bucket = self.buckets.get(key)
         if bucket is None or bucket.limits != limits:
-            bucket = self.buckets[key] = Bucket(limits, now_s)
+            bucket = self.buckets[key] = AccountBucket(limits, now_s)
         self.buckets.move_to_end(key)
-        if len(self.buckets) > self.limit:
+        if len(self.buckets) > self.max_buckets:
             self.buckets.popitem(last=False)
         wait_s = bucket.take(now_s)
         if wait_s > 0:
--- a/src/wisteriapulley/policy/stated_rate.py
+++ b/src/wisteriapulley/policy/advertised_rate.py
@@ -6,17 +6,17 @@
 
 # A target that states that it takes nothing is asked so often all the same, in
 # requests a second: only its answers tell when that ends.
-LEAST_PER_S = 0.1
+MIN_RATE_PER_S = 0.1
 # Of a rate that passes at once after a rest, in seconds.
 BURST_S = 0.5
 # Requests that pass at once after a rest in any case. A late request passes only where
 # another one could, so that those in time have what there is.
-LEAST_BURST = 2.0
+MIN_BURST = 2.0
 # A target of which nothing was heard for so long is forgotten.
-KEPT_S = 600.0
+RETENTION_S = 600.0
 
 
-class StatedRate(NamedTuple):
+class AdvertisedRate(NamedTuple):
     """What one answer says of the requests that its target takes.
 
     Attributes
@@ -28,10 +28,10 @@
     """
 
     per_s: float | None = None
-    unreadable: str = ""
+    invalid_text: str = ""
 
 
-class KnownRate:
+class RateTracker:
     """The newest word of one target's rate.
 
     Attributes
@@ -44,10 +44,10 @@
 
     def __init__(self):
         self.per_s: float | None = None
-        self.heard_s = float("-inf")
-        self.was_unreadable = False
+        self.observed_s = float("-inf")
+        self.invalid_seen = False
 
-    def hear(self, stated: StatedRate, sent_s: float, now_s: float) -> bool:
+    def observe(self, advertised: AdvertisedRate, sent_s: float, now_s: float) -> bool:
         """Take an answer's word in; tell whether it says that there is a rate, or was.
 
         Parameters
@@ -60,27 +60,31 @@
         now_s : float
             The clock.
         """
-        if stated.per_s is None:
-            if stated.unreadable or self.per_s is None or sent_s < self.heard_s:
+        if advertised.per_s is None:
+            if (
+                advertised.invalid_text
+                or self.per_s is None
+                or sent_s < self.observed_s
+            ):
                 return False
-            self.per_s, self.heard_s = None, now_s
+            self.per_s, self.observed_s = None, now_s
             return True
-        self.per_s, self.heard_s = max(LEAST_PER_S, stated.per_s), now_s
+        self.per_s, self.observed_s = max(MIN_RATE_PER_S, advertised.per_s), now_s
         return True
 
-    def end(self, now_s: float) -> None:
+    def clear(self, now_s: float) -> None:
         """Note that others heard that the target states no rate any more."""
-        self.per_s, self.heard_s = None, now_s
+        self.per_s, self.observed_s = None, now_s
 
-    def is_first_unreadable(self, stated: StatedRate) -> bool:
+    def is_first_invalid(self, advertised: AdvertisedRate) -> bool:
         """Tell whether a target states for the first time what is no rate."""
-        if not stated.unreadable or self.was_unreadable:
+        if not advertised.invalid_text or self.invalid_seen:
             return False
-        self.was_unreadable = True
+        self.invalid_seen = True
         return True
 
 
-class Limit(NamedTuple):
+class RateLimit(NamedTuple):
     """A target's stated rate, and what may pass by it.
 
     Attributes
@@ -94,7 +98,7 @@
     """
 
     per_s: float | None
-    heard_s: float
+    observed_s: float
     bucket: TokenBucket
 
 
@@ -111,11 +115,11 @@
         Of a stated rate that passes here.
     """
 
-    def __init__(self, share: float = 1.0):
-        self.share = share
-        self.limits: dict[str, Limit] = {}
+    def __init__(self, fraction: float = 1.0):
+        self.fraction = fraction
+        self.limits: dict[str, RateLimit] = {}
 
-    def hear(self, target: str, per_s: float | None, heard_s: float) -> None:
+    def update(self, target: str, per_s: float | None, observed_s: float) -> None:
         """Take in a target's word, unless newer words of it are known.
 
         Nothing passes at once by a limit that is new here: requests that were sent
@@ -131,18 +135,18 @@
             When an entry heard that.
         """
         known = self.limits.get(target)
-        if known is not None and heard_s < known.heard_s:
+        if known is not None and observed_s < known.observed_s:
             return
         if known is None and per_s is None:
             return
-        rate = self.share * per_s if per_s is not None else 0.0
-        burst = max(LEAST_BURST, rate * BURST_S)
+        rate = self.fraction * per_s if per_s is not None else 0.0
+        burst = max(MIN_BURST, rate * BURST_S)
         if known is None or known.per_s is None:
-            bucket = TokenBucket(rate, burst, left=0.0)
+            bucket = TokenBucket(rate, burst, available=0.0)
         else:
             bucket = known.bucket
-            bucket.change(rate, burst, heard_s)
-        self.limits[target] = Limit(per_s, heard_s, bucket)
+            bucket.set_rate(rate, burst, observed_s)
+        self.limits[target] = RateLimit(per_s, observed_s, bucket)
 
     def is_limited(self, target: str) -> bool:
         """Tell whether a target states a rate, as far as known here."""
@@ -159,7 +163,7 @@
         limit = self.limits.get(target)
         if limit is None or limit.per_s is None:
             return 0.0
-        return limit.bucket.wait_s(now_s, LEAST_BURST if late else 1.0)
+        return limit.bucket.wait_s(now_s, MIN_BURST if late else 1.0)
 
     def take(self, target: str, now_s: float) -> bool:
         """Let a request pass, if one may."""
@@ -168,8 +172,8 @@
             return True
         return limit.bucket.take(now_s)
 
-    def sweep(self, now_s: float) -> None:
+    def remove_expired(self, now_s: float) -> None:
         """Forget targets of which nothing was heard for long."""
         for target, limit in tuple(self.limits.items()):
-            if now_s - limit.heard_s > KEPT_S:
+            if now_s - limit.observed_s > RETENTION_S:
                 del self.limits[target]
--- a/src/wisteriapulley/policy/passes.py
+++ b/src/wisteriapulley/policy/batch_steps.py
@@ -9,7 +9,7 @@
 """
 
 
-class PassClock:
+class BatchStepClock:
     """The pass in progress at one engine, as its queue of places reckons it.
 
     Attributes
@@ -21,10 +21,10 @@
     """
 
     def __init__(self):
-        self.ends_ms = 0.0
-        self.reading_ms = 0.0
+        self.step_end_ms = 0.0
+        self.prefill_ms = 0.0
 
-    def advance(self, now_ms: float, pass_ms: float, running: int) -> None:
+    def advance(self, now_ms: float, step_ms: float, running: int) -> None:
         """Let the passes run until now.
 
         Parameters
@@ -36,23 +36,23 @@
         running : int
             Requests at the engine; without any it waits for the next one.
         """
-        while self.ends_ms <= now_ms:
-            if not running and not self.reading_ms:
-                self.ends_ms = now_ms
+        while self.step_end_ms <= now_ms:
+            if not running and not self.prefill_ms:
+                self.step_end_ms = now_ms
                 return
-            self.ends_ms += pass_ms + self.reading_ms
-            self.reading_ms = 0.0
-            if self.ends_ms < now_ms - pass_ms:
+            self.step_end_ms += step_ms + self.prefill_ms
+            self.prefill_ms = 0.0
+            if self.step_end_ms < now_ms - step_ms:
                 # Long without a look: only the rhythm counts, not each pass.
-                self.ends_ms = now_ms
+                self.step_end_ms = now_ms
 
-    def add(self, reading_ms: float) -> None:
+    def add(self, prefill_ms: float) -> None:
         """Take a request in, whose prompt takes so long to read."""
-        self.reading_ms += reading_ms
+        self.prefill_ms += prefill_ms
 
     def first_event_ms(
-        self, prompt_tokens: int, rate: float, pass_ms: float, now_ms: float
+        self, prompt_tokens: int, prefill_rate: float, step_ms: float, now_ms: float
     ) -> float:
         """Return how long from now the first event of a new request takes."""
-        rest_ms = max(0.0, self.ends_ms - now_ms)
-        return rest_ms + self.reading_ms + prompt_tokens / rate + pass_ms
+        remaining_ms = max(0.0, self.step_end_ms - now_ms)
+        return remaining_ms + self.prefill_ms + prompt_tokens / prefill_rate + step_ms
--- a/src/wisteriapulley/policy/circuit_breaker.py
+++ b/src/wisteriapulley/policy/circuit_breaker.py
@@ -12,23 +12,23 @@
 # The first pause, and the longest one, in seconds. A target that is full for a moment
 # has room again soon; one that turns all away costs one send in each longest pause,
 # and stands idle for half of it on average once it has room again.
-FIRST_PAUSE_S = 0.05
-MOST_PAUSE_S = 0.5
+MIN_OPEN_S = 0.05
+MAX_OPEN_S = 0.5
 # In a row, until the target is left alone: a single request may be turned away for
 # its own sake, such as its length.
-MOST_IN_A_ROW = 2
+REJECTIONS_TO_OPEN = 2
 # A request that was not turned away after so many seconds has been taken.
-TAKEN_S = 0.1
+ACCEPTED_AFTER_S = 0.1
 # Requests at once that a target has to take before it is whole again.
-WHOLE = 8
+MAX_PROBES = 8
 
 
 class SendOutcome(Enum):
     """What a target did with a request; `UNKNOWN` also where none was sent."""
 
     UNKNOWN = "unknown"
-    TAKEN = "taken"
-    TURNED_AWAY = "turned_away"
+    ACCEPTED = "taken"
+    REJECTED = "turned_away"
 
 
 class CircuitBreaker:
@@ -45,12 +45,12 @@
     """
 
     def __init__(self):
-        self.until_s = float("-inf")
-        self.pause_s = 0.0
-        self.allowed = 0
-        self.in_a_row = 0
-        self.turned_s = float("-inf")
-        self.trials: list[float] = []
+        self.open_until_s = float("-inf")
+        self.open_s = 0.0
+        self.probe_limit = 0
+        self.consecutive_rejections = 0
+        self.rejected_s = float("-inf")
+        self.probes: list[float] = []
 
     def wait_s(self, now_s: float, is_last: bool = False) -> float:
         """Return how long until a request may be sent; 0 for now.
@@ -63,56 +63,66 @@
             Whether the request can't be sent again if it is turned away. Such a one is
             sent on trial only after others had time for it.
         """
-        if not self.allowed:
+        if not self.probe_limit:
             return 0.0
-        until_s = self.until_s + is_last * MOST_PAUSE_S
-        if now_s < until_s:
-            return until_s - now_s
-        self.settle(now_s)
-        if not self.allowed or len(self.trials) < self.allowed:
+        open_until_s = self.open_until_s + is_last * MAX_OPEN_S
+        if now_s < open_until_s:
+            return open_until_s - now_s
+        self.accept_due_probes(now_s)
+        if not self.probe_limit or len(self.probes) < self.probe_limit:
             return 0.0
-        return self.trials[0] + TAKEN_S - now_s
+        return self.probes[0] + ACCEPTED_AFTER_S - now_s
 
-    def settle(self, now_s: float) -> None:
+    def accept_due_probes(self, now_s: float) -> None:
         """Count trials as taken that were not turned away in time."""
-        while self.allowed and self.trials and now_s >= self.trials[0] + TAKEN_S:
-            self.trials.pop(0)
-            self.grow()
-
-    def grow(self) -> None:
+        while (
+            self.probe_limit
+            and self.probes
+            and now_s >= self.probes[0] + ACCEPTED_AFTER_S
+        ):
+            self.probes.pop(0)
+            self.raise_probe_limit()
+
+    def raise_probe_limit(self) -> None:
         """Let more requests pass at once; all of them, once it took enough."""
-        self.pause_s = 0.0
-        self.allowed *= 2
-        if self.allowed > WHOLE:
-            self.allowed = 0
-            self.trials.clear()
+        self.open_s = 0.0
+        self.probe_limit *= 2
+        if self.probe_limit > MAX_PROBES:
+            self.probe_limit = 0
+            self.probes.clear()
 
-    def sent(self, now_s: float) -> None:
+    def record_sent(self, now_s: float) -> None:
         """Note that a request goes there."""
-        if self.allowed:
-            self.trials.append(now_s)
-
-    def ended(
-        self, outcome: SendOutcome, sent_s: float, now_s: float, rests: bool = False
+        if self.probe_limit:
+            self.probes.append(now_s)
+
+    def record_outcome(
+        self,
+        outcome: SendOutcome,
+        sent_s: float,
+        now_s: float,
+        cooldown_requested: bool = False,
     ) -> None:
         """Note what the target did with a request; see `turned_away`."""
-        if outcome is SendOutcome.TAKEN:
-            self.taken(sent_s)
-        elif outcome is SendOutcome.TURNED_AWAY:
-            self.turned_away(sent_s, now_s, rests)
-        elif sent_s in self.trials:
-            self.trials.remove(sent_s)
-
-    def taken(self, sent_s: float) -> None:
+        if outcome is SendOutcome.ACCEPTED:
+            self.record_accepted(sent_s)
+        elif outcome is SendOutcome.REJECTED:
+            self.record_rejected(sent_s, now_s, cooldown_requested)
+        elif sent_s in self.probes:
+            self.probes.remove(sent_s)
+
+    def record_accepted(self, sent_s: float) -> None:
         """Note that the target took a request that was sent after its last refusal."""
-        if sent_s <= self.turned_s:
+        if sent_s <= self.rejected_s:
             return
-        self.in_a_row = 0
-        if sent_s in self.trials:
-            self.trials.remove(sent_s)
-            self.grow()
+        self.consecutive_rejections = 0
+        if sent_s in self.probes:
+            self.probes.remove(sent_s)
+            self.raise_probe_limit()
 
-    def turned_away(self, sent_s: float, now_s: float, rests: bool = False) -> None:
+    def record_rejected(
+        self, sent_s: float, now_s: float, cooldown_requested: bool = False
+    ) -> None:
         """Note that the target turned a request away.
 
         Parameters
@@ -125,14 +135,18 @@
         rests : bool
             Whether the target asks for rest, so that one word is enough.
         """
-        if sent_s < self.turned_s and self.allowed:
+        if sent_s < self.rejected_s and self.probe_limit:
             return
-        self.in_a_row += 1
-        if self.in_a_row < MOST_IN_A_ROW and not rests and not self.allowed:
-            self.turned_s = max(self.turned_s, sent_s)
+        self.consecutive_rejections += 1
+        if (
+            self.consecutive_rejections < REJECTIONS_TO_OPEN
+            and not cooldown_requested
+            and not self.probe_limit
+        ):
+            self.rejected_s = max(self.rejected_s, sent_s)
             return
-        self.pause_s = min(MOST_PAUSE_S, max(FIRST_PAUSE_S, 2 * self.pause_s))
-        self.until_s = now_s + self.pause_s
-        self.turned_s = now_s
-        self.allowed = 1
-        self.trials.clear()
+        self.open_s = min(MAX_OPEN_S, max(MIN_OPEN_S, 2 * self.open_s))
+        self.open_until_s = now_s + self.open_s
+        self.rejected_s = now_s
+        self.probe_limit = 1
+        self.probes.clear()
--- a/src/wisteriapulley/policy/crash_suspects.py
+++ b/src/wisteriapulley/policy/crash_suspects.py
@@ -19,20 +19,20 @@
 
 # Targets that a request may end before it is quarantined. With fewer, neighbours that
 # shared them all by chance would be taken for it too often.
-ENDED_ALONE = 3
+MIN_ENDED_ALONE = 3
 # One under which no target ended that did not end under another request as well may
 # be its neighbour: it goes free until it has ended so many.
-ENDED_MOST = 4
+MAX_ENDED = 4
 # A suspect that ends nothing more is forgotten after so long, and so is a quarantine:
 # what the request met may have been mended since.
-KEPT_S = 86_400.0
+RETENTION_S = 86_400.0
 # Suspects held at once: each takes half a kilobyte.
-MOST_SUSPECTS = 1024
+MAX_SUSPECTS = 1024
 # Suspects that a new link is told of: a frame stays below 60 kB.
-MOST_TOLD = 256
+MAX_INITIAL_SUSPECTS = 256
 
 
-class Record(NamedTuple):
+class SuspectRecord(NamedTuple):
     """What is known of one request.
 
     Attributes
@@ -61,19 +61,23 @@
         How long a record is held after its last change, in seconds.
     """
 
-    def __init__(self, most: int = MOST_SUSPECTS, kept_s: float = KEPT_S):
-        self.most = most
-        self.kept_s = kept_s
-        self.records: dict[bytes, Record] = {}
+    def __init__(
+        self, max_records: int = MAX_SUSPECTS, retention_s: float = RETENTION_S
+    ):
+        self.max_records = max_records
+        self.retention_s = retention_s
+        self.records: dict[bytes, SuspectRecord] = {}
 
     def is_quarantined(self, digest: bytes) -> bool:
         """Tell whether a request may not be sent any more."""
         record = self.records.get(digest)
-        if record is None or len(record.ended) < ENDED_ALONE:
+        if record is None or len(record.ended) < MIN_ENDED_ALONE:
             return False
-        return len(record.ended) >= ENDED_MOST or not self.is_explained(digest)
+        return len(record.ended) >= MAX_ENDED or not self.is_explained_by_another(
+            digest
+        )
 
-    def is_explained(self, digest: bytes) -> bool:
+    def is_explained_by_another(self, digest: bytes) -> bool:
         """Tell whether another request alone could have ended all the targets."""
         ended = set(self.records[digest].ended)
         return any(
@@ -86,7 +90,9 @@
         """Return the requests that may not be sent any more."""
         return [digest for digest in self.records if self.is_quarantined(digest)]
 
-    def target_ended(self, digest: bytes, start: str, now_s: float) -> Record:
+    def record_crash(
+        self, digest: bytes, incarnation: str, now_s: float
+    ) -> SuspectRecord:
         """Note that a target ended while it had a request.
 
         Parameters
@@ -104,19 +110,21 @@
             What is known of the request now, even where there is no room to hold it.
         """
         known = self.records.get(digest)
-        record = Record(known.cleared if known is not None else 0, (start,), now_s)
+        record = SuspectRecord(
+            known.cleared if known is not None else 0, (incarnation,), now_s
+        )
         self.merge(digest, record)
         return self.records.get(digest, record)
 
-    def answered(self, digest: bytes, now_s: float) -> bool:
+    def record_answer(self, digest: bytes, now_s: float) -> bool:
         """Clear a request that was answered whole; tell whether that is news."""
         known = self.records.get(digest)
         if known is None or not known.ended:
             return False
-        self.records[digest] = Record(known.cleared + 1, (), now_s)
+        self.records[digest] = SuspectRecord(known.cleared + 1, (), now_s)
         return True
 
-    def merge(self, digest: bytes, record: Record) -> bool:
+    def merge(self, digest: bytes, record: SuspectRecord) -> bool:
         """Take a record in; tell whether it says anything that was not known."""
         known = self.records.get(digest)
         if known is None:
@@ -127,42 +135,42 @@
         elif record.cleared != known.cleared:
             new = max(record, known, key=lambda r: r.cleared)
         else:
-            ended = some_of((*known.ended, *record.ended))
-            new = Record(known.cleared, ended, max(known.at_s, record.at_s))
+            ended = truncate_incarnations((*known.ended, *record.ended))
+            new = SuspectRecord(known.cleared, ended, max(known.at_s, record.at_s))
         if known is not None and new[:2] == known[:2]:
             return False
         self.records[digest] = new
-        if len(self.records) > self.most:
-            del self.records[min(self.records, key=self.weight)]
+        if len(self.records) > self.max_records:
+            del self.records[min(self.records, key=self.retention_rank)]
         return True
 
-    def weight(self, digest: bytes) -> tuple[int, float]:
+    def retention_rank(self, digest: bytes) -> tuple[int, float]:
         """Order records by what is lost with them."""
         record = self.records[digest]
         return len(record.ended), record.at_s
 
-    def sweep(self, now_s: float) -> None:
+    def remove_expired(self, now_s: float) -> None:
         """Forget records that did not change for long."""
         for digest, record in tuple(self.records.items()):
-            if now_s - record.at_s > self.kept_s:
+            if now_s - record.at_s > self.retention_s:
                 del self.records[digest]
 
     # -- as others are told ----------------------------------------------
 
-    def heaviest(self) -> list[bytes]:
+    def top_suspects(self) -> list[bytes]:
         """Return the suspects that a new link is told of."""
         suspects = (digest for digest, r in self.records.items() if r.ended)
-        return heapq.nlargest(MOST_TOLD, suspects, key=self.weight)
+        return heapq.nlargest(MAX_INITIAL_SUSPECTS, suspects, key=self.retention_rank)
 
-    def take(self, suspects: Iterable[Suspect], now_s: float) -> list[bytes]:
+    def merge_updates(self, suspects: Iterable[Suspect], now_s: float) -> list[bytes]:
         """Take in what others tell; return the digests of which that is news."""
         return [
             suspect.digest
             for suspect in suspects
-            if self.merge(suspect.digest, record_of(suspect, now_s))
+            if self.merge(suspect.digest, decode_record(suspect, now_s))
         ]
 
-    def news(self, now_s: float, digests: Iterable[bytes]) -> Iterator[Suspect]:
+    def updates(self, now_s: float, digests: Iterable[bytes]) -> Iterator[Suspect]:
         """Yield what is known of some requests, with its age."""
         for digest in digests:
             record = self.records.get(digest)
@@ -171,11 +179,13 @@
                 yield Suspect(digest, record.cleared, record.ended, age_s)
 
 
-def record_of(suspect: Suspect, now_s: float) -> Record:
+def decode_record(suspect: Suspect, now_s: float) -> SuspectRecord:
     """Read a record from the wire."""
-    return Record(suspect.cleared, some_of(suspect.ended), now_s - suspect.age_s)
+    return SuspectRecord(
+        suspect.cleared, truncate_incarnations(suspect.ended), now_s - suspect.age_s
+    )
 
 
-def some_of(starts: Iterable[str]) -> tuple[str, ...]:
+def truncate_incarnations(incarnations: Iterable[str]) -> tuple[str, ...]:
     """Return as many starts as decide anything, the same ones everywhere."""
-    return tuple(sorted(set(starts))[:ENDED_MOST])
+    return tuple(sorted(set(incarnations))[:MAX_ENDED])
--- a/src/wisteriapulley/policy/drain.py
+++ b/src/wisteriapulley/policy/drain.py
@@ -4,7 +4,7 @@
 WINDOW_S = 0.5
 GAIN = 0.4
 # A stopped queue still has a finite wait, so that Retry-After stays sane.
-LEAST_RATE = 0.05
+MIN_RATE = 0.05
 
 
 class DrainRate:
@@ -17,33 +17,33 @@
 
     def __init__(self):
         self.rate: float | None = None
-        self.since_s: float | None = None
-        self.volume_s = 0.0
+        self.window_start_s: float | None = None
+        self.started_work_s = 0.0
 
-    def started(self, cost_s: float, now_s: float) -> None:
+    def record_start(self, cost_s: float, now_s: float) -> None:
         """Count queued work that starts."""
-        self.watch(now_s)
-        self.volume_s += cost_s
+        self.update(now_s)
+        self.started_work_s += cost_s
 
-    def watch(self, now_s: float) -> None:
+    def update(self, now_s: float) -> None:
         """Take a sample when a window has passed with work queued."""
-        if self.since_s is None:
-            self.since_s = now_s
-        elapsed_s = now_s - self.since_s
+        if self.window_start_s is None:
+            self.window_start_s = now_s
+        elapsed_s = now_s - self.window_start_s
         if elapsed_s < WINDOW_S:
             return
-        sample = self.volume_s / elapsed_s
+        sample = self.started_work_s / elapsed_s
         known = sample if self.rate is None else self.rate
         self.rate = known + GAIN * (sample - known)
-        self.since_s = now_s
-        self.volume_s = 0.0
+        self.window_start_s = now_s
+        self.started_work_s = 0.0
 
-    def emptied(self) -> None:
+    def reset_window(self) -> None:
         """Forget the window: an empty queue says nothing of what could start."""
-        self.since_s = None
-        self.volume_s = 0.0
+        self.window_start_s = None
+        self.started_work_s = 0.0
 
-    def wait_s(self, ahead_s: float, places: int) -> float:
+    def wait_s(self, ahead_s: float, slots: int) -> float:
         """Return how long so much work takes to start, at most at `places`."""
-        rate = min(places, self.rate if self.rate is not None else places)
-        return ahead_s / max(LEAST_RATE, rate)
+        rate = min(slots, self.rate if self.rate is not None else slots)
+        return ahead_s / max(MIN_RATE, rate)
--- a/src/wisteriapulley/policy/fair_queue.py
+++ b/src/wisteriapulley/policy/fair_queue.py
@@ -7,7 +7,7 @@
 from wisteriapulley.policy.work import Work, size_class
 
 # Work of unknown length still costs its account something.
-LEAST_COST_S = 0.001
+MIN_COST_S = 0.001
 
 
 class Item(NamedTuple):
@@ -17,7 +17,7 @@
     cost_s: float
 
 
-class Share:
+class FairShare:
     """Turns of one member of a fair queue.
 
     Start-time fair queueing: whoever has the lowest tag is next, and its tag
@@ -29,7 +29,7 @@
         self.cost_s = 0.0
 
 
-class SizeFlow(Share):
+class SizeFlow(FairShare):
     """Queued work of one account and size class, oldest first."""
 
     def __init__(self, tag: float):
@@ -37,7 +37,7 @@
         self.items: deque[Item] = deque()
 
 
-class AccountFlow(Share):
+class AccountFlow(FairShare):
     """Queued work of one account, by size class."""
 
     def __init__(self, tag: float):
@@ -62,26 +62,26 @@
         self.length = 0
         # Tags of accounts that emptied while ahead, so that leaving and coming
         # back earns nothing.
-        self.tags: dict[str, float] = {}
+        self.idle_tags: dict[str, float] = {}
 
     def __len__(self) -> int:
         return self.length
 
     def push(self, work: Work, cost_s: float) -> None:
         """Queue work."""
-        item = Item(work, max(LEAST_COST_S, cost_s))
+        item = Item(work, max(MIN_COST_S, cost_s))
         flow = self.accounts.get(work.account)
         if flow is None:
-            tag = max(self.virtual_s, self.tags.pop(work.account, 0.0))
+            tag = max(self.virtual_s, self.idle_tags.pop(work.account, 0.0))
             flow = self.accounts[work.account] = AccountFlow(tag)
         number = size_class(work.units)
         size = flow.sizes.get(number)
         if size is None:
             size = flow.sizes[number] = SizeFlow(flow.virtual_s)
         size.items.append(item)
-        self.count(flow, size, item.cost_s, 1)
+        self.update_totals(flow, size, item.cost_s, 1)
 
-    def count(
+    def update_totals(
         self, flow: AccountFlow, size: SizeFlow, cost_s: float, items: int
     ) -> None:
         """Count items in or out."""
@@ -98,25 +98,27 @@
         self.virtual_s, flow.virtual_s = flow.tag, size.tag
         flow.tag += item.cost_s
         size.tag += item.cost_s
-        self.take_out(account, number, item)
+        self.remove_item(account, number, item)
         return item.work
 
-    def take_out(self, account: str, number: int, item: Item) -> None:
+    def remove_item(self, account: str, number: int, item: Item) -> None:
         """Count an item out, and drop flows that are empty now."""
         flow = self.accounts[account]
         size = flow.sizes[number]
-        self.count(flow, size, -item.cost_s, -1)
+        self.update_totals(flow, size, -item.cost_s, -1)
         if not size.items:
             del flow.sizes[number]
         if not flow.sizes:
             del self.accounts[account]
-            self.remember(account, flow.tag)
+            self.save_tag(account, flow.tag)
 
-    def remember(self, account: str, tag: float) -> None:
+    def save_tag(self, account: str, tag: float) -> None:
         """Keep the tag of an account that emptied; drop those that fell behind."""
-        if len(self.tags) > 2 * len(self.accounts) + 64:
-            self.tags = {a: t for a, t in self.tags.items() if t > self.virtual_s}
-        self.tags[account] = tag
+        if len(self.idle_tags) > 2 * len(self.accounts) + 64:
+            self.idle_tags = {
+                a: t for a, t in self.idle_tags.items() if t > self.virtual_s
+            }
+        self.idle_tags[account] = tag
 
     def remove(self, work: Work) -> bool:
         """Take out work whose caller gave up; it is charged nothing."""
@@ -126,7 +128,7 @@
         for position, item in enumerate(size.items if size is not None else ()):
             if item.work.id == work.id:
                 del size.items[position]
-                self.take_out(work.account, number, item)
+                self.remove_item(work.account, number, item)
                 return True
         return False
 
@@ -167,9 +169,9 @@
 
     def pop(self) -> Work:
         """Take the next work."""
-        return next(self.busy()).pop()
+        return next(self.nonempty_levels()).pop()
 
-    def busy(self) -> Iterator[FairQueue]:
+    def nonempty_levels(self) -> Iterator[FairQueue]:
         """Yield the levels with work, first the one that runs first."""
         for priority in sorted(self.levels):
             if self.levels[priority].length:
--- a/src/wisteriapulley/policy/fingerprint.py
+++ b/src/wisteriapulley/policy/fingerprint.py
@@ -4,9 +4,9 @@
 
 DIGEST_BYTES = 16
 # Tells these digests from others under the same key.
-PURPOSE = b"wp-request"
+PERSONALIZATION = b"wp-request"
 # Longer keys are not taken by the digest.
-MOST_KEY_BYTES = hashlib.blake2b.MAX_KEY_SIZE
+MAX_KEY_BYTES = hashlib.blake2b.MAX_KEY_SIZE
 LENGTH_BYTES = 8
 
 
@@ -32,7 +32,7 @@
         `DIGEST_BYTES` long.
     """
     digest = hashlib.blake2b(
-        digest_size=DIGEST_BYTES, key=key[:MOST_KEY_BYTES], person=PURPOSE
+        digest_size=DIGEST_BYTES, key=key[:MAX_KEY_BYTES], person=PERSONALIZATION
     )
     for part in (host.encode(), path.encode(), account.encode(), body):
         digest.update(len(part).to_bytes(LENGTH_BYTES, "little"))
--- a/src/wisteriapulley/policy/outliers.py
+++ b/src/wisteriapulley/policy/outliers.py
@@ -8,17 +8,17 @@
 # work; below that placement by outstanding work copes by itself.
 SLOW_FACTOR = 3.0
 # Probed back only when it is clearly well, so that it does not flap.
-WELL_FACTOR = 1.5
+RECOVERED_FACTOR = 1.5
 # One request says little; three agree.
-LEAST_SAMPLES = 3
+MIN_SAMPLES = 3
 # With fewer there is no telling which of them is the odd one.
-LEAST_TARGETS = 3
+MIN_TARGETS = 3
 # At most this share is out at once: when many are slow, the load is the cause,
 # and taking targets out would make it worse.
-EJECTED_SHARE = 0.34
-PROBE_FIRST_S = 5.0
-PROBE_MOST_S = 60.0
-GAIN = 0.3
+MAX_EJECTED_FRACTION = 0.34
+MIN_PROBE_BACKOFF_S = 5.0
+MAX_PROBE_BACKOFF_S = 60.0
+SMOOTHING = 0.3
 
 
 class Ejection(NamedTuple):
@@ -28,7 +28,7 @@
     backoff_s: float
 
 
-class Outliers:
+class OutlierDetector:
     """Ratio of taken to expected time for each target.
 
     Harm prevented: one target ten times slower takes a share of the requests
@@ -40,7 +40,7 @@
         self.samples: dict[str, int] = {}
         self.ejected: dict[str, Ejection] = {}
 
-    def learn(
+    def record(
         self, node_id: str, ratio: float, now_s: float, probe: bool = False
     ) -> None:
         """Take in how long a request took over what was expected.
@@ -59,15 +59,17 @@
         """
         if node_id in self.ejected:
             if probe:
-                self.judge_probe(node_id, ratio, now_s)
+                self.evaluate_probe(node_id, ratio, now_s)
             return
         known = self.ratios.get(node_id, ratio)
-        self.ratios[node_id] = known + GAIN * (ratio - known)
+        self.ratios[node_id] = known + SMOOTHING * (ratio - known)
         self.samples[node_id] = self.samples.get(node_id, 0) + 1
         if self.is_slow(node_id):
-            self.ejected[node_id] = Ejection(now_s + PROBE_FIRST_S, PROBE_FIRST_S)
+            self.ejected[node_id] = Ejection(
+                now_s + MIN_PROBE_BACKOFF_S, MIN_PROBE_BACKOFF_S
+            )
 
-    def peer_ratio(self, node_id: str) -> float:
+    def median_peer_ratio(self, node_id: str) -> float:
         """Return the median ratio of the other targets."""
         peers = [
             ratio
@@ -79,23 +81,23 @@
     def is_slow(self, node_id: str) -> bool:
         """Tell whether a target is to be taken out."""
         count = len(self.ratios)
-        if count < LEAST_TARGETS or self.samples[node_id] < LEAST_SAMPLES:
+        if count < MIN_TARGETS or self.samples[node_id] < MIN_SAMPLES:
             return False
-        if len(self.ejected) + 1 > max(1, int(count * EJECTED_SHARE)):
+        if len(self.ejected) + 1 > max(1, int(count * MAX_EJECTED_FRACTION)):
             return False
-        peers = self.peer_ratio(node_id)
+        peers = self.median_peer_ratio(node_id)
         return peers > 0 and self.ratios[node_id] > SLOW_FACTOR * peers
 
-    def judge_probe(self, node_id: str, ratio: float, now_s: float) -> None:
+    def evaluate_probe(self, node_id: str, ratio: float, now_s: float) -> None:
         """Take a target back in after a good probe, or wait for longer."""
-        if ratio <= WELL_FACTOR * max(1.0, self.peer_ratio(node_id)):
+        if ratio <= RECOVERED_FACTOR * max(1.0, self.median_peer_ratio(node_id)):
             del self.ejected[node_id]
             self.ratios[node_id] = ratio
             return
-        backoff_s = min(PROBE_MOST_S, self.ejected[node_id].backoff_s * 2)
+        backoff_s = min(MAX_PROBE_BACKOFF_S, self.ejected[node_id].backoff_s * 2)
         self.ejected[node_id] = Ejection(now_s + backoff_s, backoff_s)
 
-    def due(self, now_s: float) -> str | None:
+    def next_probe(self, now_s: float) -> str | None:
         """Return a target that is to be probed, and book the probe."""
         for node_id, ejection in self.ejected.items():
             if ejection.probe_s <= now_s:
@@ -104,7 +106,7 @@
                 return node_id
         return None
 
-    def keep(self, names: Iterable[str]) -> None:
+    def retain(self, names: Iterable[str]) -> None:
         """Forget targets that are gone."""
         for node_id in set(self.ratios) - set(names):
             self.ratios.pop(node_id)
--- a/src/wisteriapulley/policy/statements.py
+++ b/src/wisteriapulley/policy/response_signals.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from wisteriapulley.policy.stated_rate import StatedRate
+from wisteriapulley.policy.advertised_rate import AdvertisedRate
 
 
 class TargetLoad(NamedTuple):
@@ -13,7 +13,7 @@
     slots: int
 
 
-class StatedRest(NamedTuple):
+class RequestedCooldown(NamedTuple):
     """For how long a target wants nothing from those that it answers.
 
     Attributes
@@ -25,10 +25,10 @@
     """
 
     seconds: float = 0.0
-    unreadable: str = ""
+    invalid_text: str = ""
 
 
-class Statements(NamedTuple):
+class ResponseSignals(NamedTuple):
     """All that one answer says of its target.
 
     Attributes
@@ -44,12 +44,12 @@
     """
 
     load: TargetLoad | None = None
-    rate: StatedRate = StatedRate()
-    rest: StatedRest = StatedRest()
+    rate: AdvertisedRate = AdvertisedRate()
+    cooldown: RequestedCooldown = RequestedCooldown()
     leaving: bool = False
 
 
-class KnownRest:
+class CooldownTracker:
     """The rest that one start of a target has asked this instance for.
 
     Attributes
@@ -60,27 +60,27 @@
 
     def __init__(self):
         self.until_s = float("-inf")
-        self.was_unreadable = False
+        self.invalid_seen = False
 
-    def hear(self, stated: StatedRest, now_s: float) -> bool:
+    def observe(self, requested: RequestedCooldown, now_s: float) -> bool:
         """Take an answer's word in; tell whether a rest begins.
 
         Neither a shorter word nor an answer without one ends a rest: answers
         overtake each other.
         """
-        if not stated.seconds:
+        if not requested.seconds:
             return False
         begins = now_s >= self.until_s
-        self.until_s = max(self.until_s, now_s + stated.seconds)
+        self.until_s = max(self.until_s, now_s + requested.seconds)
         return begins
 
     def wait_s(self, now_s: float) -> float:
         """Return how long it still lasts; 0 for not at all."""
         return max(0.0, self.until_s - now_s)
 
-    def is_first_unreadable(self, stated: StatedRest) -> bool:
+    def is_first_invalid(self, requested: RequestedCooldown) -> bool:
         """Tell whether a target states for the first time what is no time."""
-        if not stated.unreadable or self.was_unreadable:
+        if not requested.invalid_text or self.invalid_seen:
             return False
-        self.was_unreadable = True
+        self.invalid_seen = True
         return True
--- a/src/wisteriapulley/policy/retry.py
+++ b/src/wisteriapulley/policy/retry.py
@@ -1,21 +1,21 @@
 """Retries: how many of the admitted requests may be sent again."""
 
 # A tenth: under full failure load grows by 10 % and not by the attempts.
-RETRY_SHARE = 0.1
+RETRY_RATIO = 0.1
 # So that a quiet entry may still retry at all.
-RETRY_FLOOR = 10.0
-RETRY_MOST = 100.0
+INITIAL_RETRIES = 10.0
+MAX_RETRIES = 100.0
 
 
 class RetryBudget:
     """Each admitted request earns a share of a retry; each retry spends one."""
 
     def __init__(self):
-        self.balance = RETRY_FLOOR
+        self.balance = INITIAL_RETRIES
 
-    def admitted(self) -> None:
+    def record_admitted(self) -> None:
         """Count an admitted request."""
-        self.balance = min(RETRY_MOST, self.balance + RETRY_SHARE)
+        self.balance = min(MAX_RETRIES, self.balance + RETRY_RATIO)
 
     def spend(self) -> bool:
         """Take one retry if the budget has it."""
--- a/src/wisteriapulley/policy/comeback.py
+++ b/src/wisteriapulley/policy/retry_after.py
@@ -12,15 +12,15 @@
 
 # Callers come back after at most a third of the time they have left; a tenth of
 # it is kept for the way.
-MOST_SHARE = 0.3
+MAX_WAIT_FRACTION = 0.3
 # The earliest return, as a share of the latest.
-FIRST_SHARE = 0.5
+EARLIEST_FRACTION = 0.5
 # No spread caller is back before this share of what it had left has passed.
-LEAST_SHARE = MOST_SHARE * FIRST_SHARE
+MIN_WAIT_FRACTION = MAX_WAIT_FRACTION * EARLIEST_FRACTION
 
 
-def comeback_s(
-    spread: bool, hint_s: float, left_s: float, random: Callable[[], float]
+def retry_after_s(
+    spread: bool, hint_s: float, remaining_s: float, random: Callable[[], float]
 ) -> float:
     """Return when a caller is to come back.
 
@@ -37,8 +37,8 @@
     random : callable
         Numbers below 1, spread evenly.
     """
-    most_s = max(0.0, left_s) * MOST_SHARE
+    max_s = max(0.0, remaining_s) * MAX_WAIT_FRACTION
     if not spread:
-        return min(hint_s, most_s)
-    spread_s = most_s * (FIRST_SHARE + (1 - FIRST_SHARE) * random())
-    return min(most_s, max(hint_s, spread_s))
+        return min(hint_s, max_s)
+    spread_s = max_s * (EARLIEST_FRACTION + (1 - EARLIEST_FRACTION) * random())
+    return min(max_s, max(hint_s, spread_s))
--- a/src/wisteriapulley/policy/returning.py
+++ b/src/wisteriapulley/policy/retry_detection.py
@@ -12,14 +12,14 @@
 callers are refused there.
 """
 
-from wisteriapulley.policy.comeback import LEAST_SHARE
+from wisteriapulley.policy.retry_after import MIN_WAIT_FRACTION
 
 # What a route's callers state at the most is forgotten at this share a second: the
 # callers of the next minutes may wait for less.
-FORGOTTEN_PER_S = 0.002
+DECAY_PER_S = 0.002
 
 
-class Returning:
+class RetryDetector:
     """What the callers of one route state, and when they were refused.
 
     Attributes
@@ -29,15 +29,15 @@
     """
 
     def __init__(self):
-        self.longest_s = 0.0
-        self.seen_s = 0.0
+        self.longest_wait_s = 0.0
+        self.updated_s = 0.0
         self.refused_s = float("-inf")
 
-    def refused(self, now_s: float) -> None:
+    def record_refusal(self, now_s: float) -> None:
         """Note that a caller was told to come back."""
         self.refused_s = now_s
 
-    def has_returned(self, patience_s: float, now_s: float) -> bool:
+    def is_retry(self, max_wait_s: float, now_s: float) -> bool:
         """Tell whether a request comes from a caller that was refused before.
 
         Parameters
@@ -47,10 +47,10 @@
         now_s : float
             The loop's clock.
         """
-        faded = 1 - FORGOTTEN_PER_S * (now_s - self.seen_s)
-        self.longest_s = max(patience_s, self.longest_s * max(0.0, faded))
-        self.seen_s = now_s
-        if now_s - self.refused_s > self.longest_s:
+        decay = 1 - DECAY_PER_S * (now_s - self.updated_s)
+        self.longest_wait_s = max(max_wait_s, self.longest_wait_s * max(0.0, decay))
+        self.updated_s = now_s
+        if now_s - self.refused_s > self.longest_wait_s:
             # Whoever was refused has come back by now, or never will.
             return False
-        return patience_s < self.longest_s * (1 - LEAST_SHARE)
+        return max_wait_s < self.longest_wait_s * (1 - MIN_WAIT_FRACTION)
--- a/src/wisteriapulley/policy/scheduler.py
+++ b/src/wisteriapulley/policy/scheduler.py
@@ -10,30 +10,30 @@
 from wisteriapulley.errors import RequestError, ResultCode
 from wisteriapulley.policy.drain import DrainRate
 from wisteriapulley.policy.fair_queue import PriorityQueue
-from wisteriapulley.policy.outliers import SLOW_FACTOR, Outliers
+from wisteriapulley.policy.outliers import SLOW_FACTOR, OutlierDetector
 from wisteriapulley.policy.service_times import ServiceTimes
 from wisteriapulley.policy.work import TargetView, Work
 
 # Memory of one service's queue, whatever its deadlines allow.
 MAX_QUEUED = 10_000
 # Below this a caller would come back into the same burst.
-LEAST_RETRY_MS = 100
+MIN_RETRY_MS = 100
 NO_TARGET_RETRY_MS = 1000
 # A full queue stands at its bound: without room for later arrivals that go first
 # half of what was let in there would be refused late instead of at once.
-HEADROOM = 1.3
+WAIT_HEADROOM = 1.3
 # A probe goes to a target that was at least three times slower.
 PROBE_SLACK = 10.0
 
 
-class Start(NamedTuple):
+class StartDecision(NamedTuple):
     """Decision about queued work: where it starts, or that it is too late."""
 
     work: Work
     node_id: str | None
 
 
-class Running(NamedTuple):
+class RunningWork(NamedTuple):
     """Work at a target."""
 
     work: Work
@@ -56,14 +56,14 @@
         self.placement = placement
         self.queue = PriorityQueue()
         self.times = ServiceTimes()
-        self.outliers = Outliers()
+        self.outliers = OutlierDetector()
         self.drain = DrainRate()
-        self.running: dict[int, Running] = {}
-        self.suspected: dict[int, float] = {}
+        self.running: dict[int, RunningWork] = {}
+        self.overdue_ratios: dict[int, float] = {}
 
     # -- decisions -------------------------------------------------------
 
-    def offer(
+    def submit(
         self, work: Work, targets: Sequence[TargetView], limit: int, now_s: float
     ) -> str | None:
         """Start work, queue it, or refuse it at once.
@@ -88,53 +88,57 @@
                 ResultCode.NO_TARGET, "no target is open", NO_TARGET_RETRY_MS
             )
         if not self.queue:
-            room = self.room(targets, limit)
+            room = self.available_targets(targets, limit)
             if room:
-                return self.place(work, room, now_s)
+                return self.start(work, room, now_s)
         self.check_deadline(work, len(targets) * limit, now_s)
-        self.queue.push(work, self.times.expect(work).mean)
+        self.queue.push(work, self.times.estimate(work).mean)
         return None
 
-    def check_deadline(self, work: Work, places: int, now_s: float) -> None:
+    def check_deadline(self, work: Work, slots: int, now_s: float) -> None:
         """Refuse work that would not be answered within its deadline."""
-        expected_s = self.times.expect(work).mean
-        wait_s = self.drain.wait_s(self.queue.ahead_s(work, expected_s), places)
-        answered_s = now_s + HEADROOM * wait_s + self.times.longest(work)
+        expected_s = self.times.estimate(work).mean
+        wait_s = self.drain.wait_s(self.queue.ahead_s(work, expected_s), slots)
+        answered_s = now_s + WAIT_HEADROOM * wait_s + self.times.upper_bound(work)
         late_s = answered_s - work.deadline_s
         if late_s <= 0 and len(self.queue) < MAX_QUEUED:
             return
         raise RequestError(
             ResultCode.OVERLOADED,
             f"{len(self.queue)} requests wait; it would wait {wait_s:.2f} s",
-            max(LEAST_RETRY_MS, int(min(max(late_s, 0.0), wait_s) * 1000)),
+            max(MIN_RETRY_MS, int(min(max(late_s, 0.0), wait_s) * 1000)),
         )
 
-    def room(self, targets: Sequence[TargetView], limit: int) -> list[TargetView]:
+    def available_targets(
+        self, targets: Sequence[TargetView], limit: int
+    ) -> list[TargetView]:
         """Return the targets that may take one more, without those taken out.
 
         When every target is taken out, all of them may: something is better
         than nothing.
         """
         ejected = self.outliers.ejected
-        healthy = [t for t in targets if t.node_id not in ejected] or targets
-        return [target for target in healthy if target.outstanding < limit]
+        in_service = [t for t in targets if t.node_id not in ejected] or targets
+        return [target for target in in_service if target.outstanding < limit]
 
-    def place(self, work: Work, room: list[TargetView], now_s: float) -> str:
+    def start(self, work: Work, room: list[TargetView], now_s: float) -> str:
         """Start work at one of the targets with room, or as a probe."""
-        probed = self.outliers.due(now_s) if self.may_probe(work, now_s) else None
+        probed = (
+            self.outliers.next_probe(now_s) if self.can_probe(work, now_s) else None
+        )
         node_id = probed or self.placement.pick(room, work)
-        self.running[work.id] = Running(
-            work, node_id, now_s, self.times.expect(work).mean, probed is not None
+        self.running[work.id] = RunningWork(
+            work, node_id, now_s, self.times.estimate(work).mean, probed is not None
         )
         return node_id
 
-    def may_probe(self, work: Work, now_s: float) -> bool:
+    def can_probe(self, work: Work, now_s: float) -> bool:
         """Tell whether work can bear a slow target and still be in time."""
-        return now_s + PROBE_SLACK * self.times.longest(work) < work.deadline_s
+        return now_s + PROBE_SLACK * self.times.upper_bound(work) < work.deadline_s
 
     def start_queued(
         self, view: Callable[[], Sequence[TargetView]], limit: int, now_s: float
-    ) -> Iterator[Start]:
+    ) -> Iterator[StartDecision]:
         """Yield what becomes of queued work while there is room.
 
         Parameters
@@ -147,16 +151,16 @@
             Time.
         """
         while self.queue:
-            room = self.room(view(), limit)
+            room = self.available_targets(view(), limit)
             if not room:
                 return
             work = self.queue.pop()
-            if now_s + self.times.longest(work) > work.deadline_s:
-                yield Start(work, None)
+            if now_s + self.times.upper_bound(work) > work.deadline_s:
+                yield StartDecision(work, None)
                 continue
-            self.drain.started(self.times.expect(work).mean, now_s)
-            yield Start(work, self.place(work, room, now_s))
-        self.drain.emptied()
+            self.drain.record_start(self.times.estimate(work).mean, now_s)
+            yield StartDecision(work, self.start(work, room, now_s))
+        self.drain.reset_window()
 
     # -- outcomes --------------------------------------------------------
 
@@ -173,31 +177,33 @@
             Time.
         """
         run = self.running.pop(work_id, None)
-        self.suspected.pop(work_id, None)
+        self.overdue_ratios.pop(work_id, None)
         if run is None or not ok:
             return
         seconds = now_s - run.started_s
         if run.expected_s > 0:
             ratio = seconds / run.expected_s
-            self.outliers.learn(run.node_id, ratio, now_s, run.probe)
+            self.outliers.record(run.node_id, ratio, now_s, run.probe)
         if run.node_id not in self.outliers.ejected:
-            self.times.learn(run.work, seconds)
+            self.times.record(run.work, seconds)
 
-    def suspect(self, now_s: float) -> None:
+    def record_overdue(self, now_s: float) -> None:
         """Count work that is overdue against its target before it ends.
 
         A target ten times slower would otherwise be found only when its first
         requests have taken ten times as long.
         """
         if self.queue:
-            self.drain.watch(now_s)
+            self.drain.update(now_s)
         for work_id, run in self.running.items():
             if run.expected_s <= 0 or run.probe:
                 continue
             ratio = (now_s - run.started_s) / run.expected_s
-            if ratio > SLOW_FACTOR and ratio > 2 * self.suspected.get(work_id, 0.0):
-                self.suspected[work_id] = ratio
-                self.outliers.learn(run.node_id, ratio, now_s, run.probe)
+            if ratio > SLOW_FACTOR and ratio > 2 * self.overdue_ratios.get(
+                work_id, 0.0
+            ):
+                self.overdue_ratios[work_id] = ratio
+                self.outliers.record(run.node_id, ratio, now_s, run.probe)
 
     def remove(self, work: Work) -> bool:
         """Take out queued work whose caller gave up."""
--- a/src/wisteriapulley/policy/service_times.py
+++ b/src/wisteriapulley/policy/service_times.py
@@ -6,7 +6,7 @@
 
 # Each sample moves the estimate by a tenth: it follows a change within some
 # twenty requests and is not thrown by one.
-GAIN = 0.1
+SMOOTHING = 0.1
 # The deadline test adds this many mean deviations: an estimate that is too low
 # lets in work that then fails its caller after all and wasted a target's time.
 DEVIATIONS = 2.0
@@ -27,7 +27,7 @@
     def __init__(self):
         self.estimates: dict[tuple[str, int], Estimate] = {}
 
-    def learn(self, work: Work, seconds: float) -> None:
+    def record(self, work: Work, seconds: float) -> None:
         """Take in how long a request took at a healthy target."""
         key = (work.kind, size_class(work.units))
         known = self.estimates.get(key)
@@ -37,11 +37,11 @@
             return
         error = seconds - known.mean
         self.estimates[key] = Estimate(
-            known.mean + GAIN * error,
-            known.deviation + GAIN * (abs(error) - known.deviation),
+            known.mean + SMOOTHING * error,
+            known.deviation + SMOOTHING * (abs(error) - known.deviation),
         )
 
-    def expect(self, work: Work) -> Estimate:
+    def estimate(self, work: Work) -> Estimate:
         """Return what to expect; 0 while nothing of the kind is known.
 
         A class not seen yet is scaled from the nearest one that was.
@@ -52,13 +52,13 @@
             return known
         for distance in range(1, 16):
             for other in (number - distance, number + distance):
-                near = self.estimates.get((work.kind, other))
-                if near is not None:
+                neighbor = self.estimates.get((work.kind, other))
+                if neighbor is not None:
                     scale = 2.0 ** (number - other)
-                    return Estimate(near.mean * scale, near.deviation * scale)
+                    return Estimate(neighbor.mean * scale, neighbor.deviation * scale)
         return Estimate(0.0, 0.0)
 
-    def longest(self, work: Work) -> float:
+    def upper_bound(self, work: Work) -> float:
         """Return the seconds that the deadline test counts with."""
-        expected = self.expect(work)
+        expected = self.estimate(work)
         return expected.mean + DEVIATIONS * expected.deviation
--- a/src/wisteriapulley/policy/shared_budget.py
+++ b/src/wisteriapulley/policy/shared_budget.py
@@ -10,10 +10,10 @@
 
 # Of the allowed ratio; requests are unevenly spread over entries and a window
 # may begin anywhere, so that the whole stays below the allowance.
-RATIO_SHARE = 0.7
+RATIO_FRACTION = 0.7
 # The fixed allowance is split by so many entries at the least: what control instances
 # know of their number lags while entries start.
-LEAST_ENTRIES = 20
+MIN_ENTRIES = 20
 
 
 class SharedRetryBudget:
@@ -30,14 +30,14 @@
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float):
-        self.ratio = ratio * RATIO_SHARE
+        self.ratio = ratio * RATIO_FRACTION
         self.slack = slack
-        self.entries = LEAST_ENTRIES
+        self.entries = MIN_ENTRIES
         self.window_s = window_s
         self.requests: deque[float] = deque()
-        self.sends: deque[float] = deque()
+        self.retries: deque[float] = deque()
 
-    def know_entries(self, entries: int) -> None:
+    def update_entries(self, entries: int) -> None:
         """Take in how many entries share the allowance.
 
         The largest number that was told counts: instances that are cut off know of
@@ -45,26 +45,26 @@
         """
         self.entries = max(self.entries, entries)
 
-    def note_request(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Count a request of a caller."""
         self.requests.append(now_s)
-        self.forget(now_s)
+        self.remove_expired(now_s)
 
-    def has_left(self, now_s: float) -> bool:
+    def has_budget(self, now_s: float) -> bool:
         """Tell whether a second send may be booked."""
-        self.forget(now_s)
+        self.remove_expired(now_s)
         allowed = self.slack / self.entries + self.ratio * len(self.requests)
-        return len(self.sends) + 1 <= allowed
+        return len(self.retries) + 1 <= allowed
 
-    def take(self, now_s: float) -> bool:
+    def spend(self, now_s: float) -> bool:
         """Book a second send; False when the share is spent."""
-        if not self.has_left(now_s):
+        if not self.has_budget(now_s):
             return False
-        self.sends.append(now_s)
+        self.retries.append(now_s)
         return True
 
-    def forget(self, now_s: float) -> None:
+    def remove_expired(self, now_s: float) -> None:
         """Drop what has left the window."""
-        for times in (self.requests, self.sends):
+        for times in (self.requests, self.retries):
             while times and times[0] < now_s - self.window_s:
                 times.popleft()
--- a/src/wisteriapulley/policy/subset.py
+++ b/src/wisteriapulley/policy/subset.py
@@ -33,7 +33,7 @@
     """
 
     total: int
-    near: int
+    same_region: int
 
 
 def choose_subset(
@@ -68,9 +68,13 @@
             rendezvous(own.name, member.name),
         ),
     )
-    near = [m for m in ranked if regions.same(m.failure_domain, own.failure_domain)]
-    far = [m for m in ranked if not regions.same(m.failure_domain, own.failure_domain)]
-    near_count = max(limits.near, limits.total - len(far))
-    chosen = near[:near_count]
-    chosen += far[: limits.total - len(chosen)]
+    same_region = [
+        m for m in ranked if regions.same(m.failure_domain, own.failure_domain)
+    ]
+    other_regions = [
+        m for m in ranked if not regions.same(m.failure_domain, own.failure_domain)
+    ]
+    same_region_count = max(limits.same_region, limits.total - len(other_regions))
+    chosen = same_region[:same_region_count]
+    chosen += other_regions[: limits.total - len(chosen)]
     return [member.name for member in chosen]
--- a/src/wisteriapulley/policy/choice.py
+++ b/src/wisteriapulley/policy/target_ranking.py
@@ -13,20 +13,20 @@
 
 # Load, as a share of a target's slots, that crossing a border is worth: a request
 # leaves its region when the other one is emptier by this much.
-CROSS_REGION_LOAD = 0.35
-CROSS_DOMAIN_LOAD = 0.1
+CROSS_REGION_COST = 0.35
+CROSS_DOMAIN_COST = 0.1
 # A target that has just started is slow for a while.
-COLD_LOAD = 0.5
+COLD_START_COST = 0.5
 
 
 class Load(NamedTuple):
     """What is known of a target's load: requests there, and its slots."""
 
-    taken: float
+    outstanding: float
     slots: int
 
 
-class Placed(Protocol):
+class RankedTarget(Protocol):
     """What the order needs to know of a target itself.
 
     Attributes
@@ -41,28 +41,28 @@
     cold_until_s: float
 
 
-AnyTarget = TypeVar("AnyTarget", bound=Placed)
+AnyTarget = TypeVar("AnyTarget", bound=RankedTarget)
 
 
-class Surroundings(NamedTuple):
+class EntryLocation(NamedTuple):
     """Where an entry is, and which failure domains make up each region."""
 
     failure_domain: str
     regions: Regions
 
-    def distance(self, failure_domain: str) -> float:
+    def distance_cost(self, failure_domain: str) -> float:
         """Return what it costs to send to a failure domain, as a load."""
         if failure_domain == self.failure_domain:
             return 0.0
         if self.regions.same(failure_domain, self.failure_domain):
-            return CROSS_DOMAIN_LOAD
-        return CROSS_REGION_LOAD
+            return CROSS_DOMAIN_COST
+        return CROSS_REGION_COST
 
 
-def by_preference(
+def rank_targets(
     targets: Iterable[AnyTarget],
     load_of: Callable[[AnyTarget], Load],
-    around: Surroundings,
+    location: EntryLocation,
     tiebreak: Callable[[], float],
     now_s: float,
 ) -> list[AnyTarget]:
@@ -84,10 +84,10 @@
 
     def cost(target: AnyTarget) -> float:
         load = load_of(target)
-        cold = COLD_LOAD if now_s < target.cold_until_s else 0.0
+        cold = COLD_START_COST if now_s < target.cold_until_s else 0.0
         return (
-            load.taken / load.slots
-            + around.distance(target.failure_domain)
+            load.outstanding / load.slots
+            + location.distance_cost(target.failure_domain)
             + cold
             + 0.05 * tiebreak()
         )
--- a/src/wisteriapulley/rollout/admission.py
+++ b/src/wisteriapulley/rollout/admission.py
@@ -7,7 +7,12 @@
 from wisteriapulley.errors import ResultCode, WireError
 from wisteriapulley.logs import fields
 from wisteriapulley.policy.circuit_breaker import SendOutcome
-from wisteriapulley.policy.places import PlaceRequest, Places, PlacesState, Verdict
+from wisteriapulley.policy.engine_slots import (
+    AdmissionDecision,
+    AdmissionState,
+    EngineSlots,
+    SlotRequest,
+)
 from wisteriapulley.rollout.state import RolloutState
 from wisteriapulley.routing import Engine
 from wisteriapulley.wire import Frame, Link, LinkServer, messages
@@ -34,8 +39,8 @@
 
     def __init__(self, state: RolloutState):
         self.state = state
-        self.slots = Places(Engine(""))
-        self.pending_decisions: dict[str, asyncio.Future[Verdict]] = {}
+        self.slots = EngineSlots(Engine(""))
+        self.pending_decisions: dict[str, asyncio.Future[AdmissionDecision]] = {}
         self.load_report_timer: asyncio.TimerHandle | None = None
         # Fires when an engine that limits its requests may accept one again.
         self.limit_timer: asyncio.TimerHandle | None = None
@@ -53,7 +58,7 @@
             return
         self.slots.open = may_serve
         if may_serve:
-            self.slots.opens_ms = None
+            self.slots.opens_at_ms = None
         log.info(
             "places open" if may_serve else "places closed",
             extra=fields(version=self.state.held_version()),
@@ -63,25 +68,25 @@
 
     def expect_opening(self, pause_ms: float) -> None:
         """Queue requests for slots that open after `pause_ms`."""
-        self.slots.opens_ms = self.now_ms() + pause_ms
+        self.slots.opens_at_ms = self.now_ms() + pause_ms
         self.schedule_load_report()
 
     def set_admission_end(self, left_ms: float | None) -> None:
         """Set how long requests may still start; None means without an end."""
         ends_ms = None if left_ms is None else self.now_ms() + left_ms
-        self.slots.ends_ms = ends_ms
+        self.slots.weights_end_ms = ends_ms
 
     def cancel_opening(self) -> None:
         """Deny queued requests because the slots will not open."""
-        if self.slots.opens_ms is None:
+        if self.slots.opens_at_ms is None:
             return
-        self.slots.opens_ms = None
+        self.slots.opens_at_ms = None
         self.advance()
         self.schedule_load_report()
 
     def engine_restarted(self) -> None:
         """Drop the slots that were granted at the engine's earlier incarnation."""
-        self.slots.forget_held()
+        self.slots.revoke_all()
         self.advance()
         self.schedule_load_report()
 
@@ -90,10 +95,10 @@
     def heartbeat(self) -> messages.Heartbeat:
         """Return a heartbeat with the load and the admission state."""
         limited = self.slots.open and self.limited_for_s() > 0
-        state = PlacesState.LIMITED if limited else self.slots.state
+        state = AdmissionState.LIMITED if limited else self.slots.state
         return messages.Heartbeat(
             state=state.value,
-            running=len(self.slots.held),
+            running=len(self.slots.grants),
             waiting=len(self.slots.queue),
         )
 
@@ -119,7 +124,7 @@
 
     def limited_for_s(self) -> float:
         """Return how long the engine accepts no requests; 0 if it does now."""
-        return self.slots.holds_back_s(self.now_ms() / 1000)
+        return self.slots.throttled_for_s(self.now_ms() / 1000)
 
     def report_limit(self) -> None:
         """Report that the engine limits its requests, and later that it stopped.
@@ -139,7 +144,7 @@
 
     def sweep_rates(self) -> None:
         """Drop the rates that earlier incarnations of the engine advertised."""
-        self.slots.rates.sweep(self.now_ms() / 1000)
+        self.slots.rate_limits.remove_expired(self.now_ms() / 1000)
 
     def near_links(self) -> list[Link]:
         """Return the links of entries in this region."""
@@ -165,7 +170,7 @@
             elif decision.granted:
                 self.slots.release(decision.request_id, self.now_ms())
 
-    async def wait_for_decision(self, request_id: str) -> Verdict:
+    async def wait_for_decision(self, request_id: str) -> AdmissionDecision:
         """Wait for the decision on a queued request."""
         future = asyncio.get_running_loop().create_future()
         self.pending_decisions[request_id] = future
@@ -196,7 +201,7 @@
         self, message: messages.Reserve, link: Link, frame: Frame
     ) -> None:
         """Handle the message `Reserve`."""
-        decision = self.slots.ask(slot_request(message, link), self.now_ms())
+        decision = self.slots.request_slot(slot_request(message, link), self.now_ms())
         if not decision.granted and not decision.denied:
             self.has_queued.set()
             # The entry treats a sidecar that does not respond as stalled.
@@ -209,13 +214,13 @@
         self.report_limit()
         link.post(self.reserved_message(decision), reply_to=frame.id)
 
-    def reserved_message(self, decision: Verdict) -> messages.Reserved:
+    def reserved_message(self, decision: AdmissionDecision) -> messages.Reserved:
         """Return the response to a `Reserve` message."""
         return messages.Reserved(
             decision.granted,
             self.state.held_version(),
             int(decision.retry_ms),
-            len(self.slots.held),
+            len(self.slots.grants),
             len(self.slots.queue),
             not self.slots.open,
             limited=decision.limited,
@@ -226,12 +231,12 @@
         self, message: messages.Release, link: Link, frame: Frame
     ) -> None:
         """Handle the message `Release`."""
-        self.slots.ended(
+        self.slots.record_end(
             message.request_id, outcome_of(message), self.now_ms(), message.rests
         )
         future = self.pending_decisions.get(message.request_id)
         if future is not None and not future.done():
-            future.set_result(Verdict(message.request_id, denied=True))
+            future.set_result(AdmissionDecision(message.request_id, denied=True))
         self.advance()
         if message.turned_away:
             self.log_rejected(link)
@@ -252,8 +257,8 @@
     ) -> None:
         """Handle the message `TargetRate`."""
         observed_s = self.now_ms() / 1000 - message.age_ms / 1000
-        self.slots.rates.hear(message.target, message.per_s or None, observed_s)
-        self.slots.is_for(message.target)
+        self.slots.rate_limits.update(message.target, message.per_s or None, observed_s)
+        self.slots.set_target(message.target)
         self.advance()
         self.report_limit()
 
@@ -275,13 +280,13 @@
 def outcome_of(message: messages.Release) -> SendOutcome:
     """Return what the engine did with a request, from a `Release` message."""
     if message.turned_away:
-        return SendOutcome.TURNED_AWAY
-    return SendOutcome.TAKEN if message.taken else SendOutcome.UNKNOWN
+        return SendOutcome.REJECTED
+    return SendOutcome.ACCEPTED if message.taken else SendOutcome.UNKNOWN
 
 
-def slot_request(message: messages.Reserve, link: Link) -> PlaceRequest:
+def slot_request(message: messages.Reserve, link: Link) -> SlotRequest:
     """Return the slot request in a `Reserve` message."""
-    return PlaceRequest(
+    return SlotRequest(
         message.request_id,
         owner_of(link),
         message.prompt_tokens,
--- a/src/wisteriapulley/rollout/engine.py
+++ b/src/wisteriapulley/rollout/engine.py
@@ -3,7 +3,7 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from wisteriapulley.policy.statements import KnownRest
+from wisteriapulley.policy.response_signals import CooldownTracker
 
 
 class EngineReport(NamedTuple):
@@ -58,7 +58,7 @@
         Cool-down that the engine requested; no calls are made until it has ended.
     """
 
-    cooldown: KnownRest
+    cooldown: CooldownTracker
 
     async def report(self) -> EngineReport:
         """Return the state of the engine."""
--- a/src/wisteriapulley/rollout/service.py
+++ b/src/wisteriapulley/rollout/service.py
@@ -138,7 +138,7 @@
     def update_gauges(self) -> None:
         """Set the gauges."""
         slots = self.admission.slots
-        self.gauge.set({"state": "held"}, len(slots.held))
+        self.gauge.set({"state": "held"}, len(slots.grants))
         self.gauge.set({"state": "waiting"}, len(slots.queue))
         self.gauge.set({"state": "open"}, int(slots.open))
         self.gauge.set({"state": "version"}, self.state.held_version())
--- a/src/wisteriapulley/rollout/updater.py
+++ b/src/wisteriapulley/rollout/updater.py
@@ -158,7 +158,7 @@
                 self.staging.done_fraction = 0.0
             finally:
                 self.loading = False
-                self.admission.slots.closes_ms = None
+                self.admission.slots.closes_at_ms = None
                 self.manifest = None
                 self.update_admission()
                 self.changed.set()
@@ -183,7 +183,7 @@
         After an outage of all instances the engines still have their staged pieces,
         and only the load is missing.
         """
-        if self.state.held_version() or self.admission.slots.held:
+        if self.state.held_version() or self.admission.slots.grants:
             return
         missing = len(self.staging.missing(manifest)) * manifest.chunk_bytes
         pause_ms = self.download_ms(missing) + self.load_ms
@@ -218,11 +218,11 @@
         if manifest is None or self.loading or not self.state.held_version():
             return
         if self.staging.is_stalled():
-            self.admission.slots.closes_ms = None
+            self.admission.slots.closes_at_ms = None
             return
         missing = total_bytes(manifest) * (1 - self.staging.done_fraction)
         pause_ms = max(self.download_ms(missing), self.switch_in_ms(manifest), 0.0)
-        self.admission.slots.closes_ms = self.admission.now_ms() + pause_ms
+        self.admission.slots.closes_at_ms = self.admission.now_ms() + pause_ms
 
     async def wait_for_switch(self, manifest: PieceManifest) -> None:
         """Wait until this engine may be taken out of service."""
@@ -238,7 +238,7 @@
         self.update_admission()
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        idle = not self.admission.slots.held
+        idle = not self.admission.slots.grants
         ordered = False
         while loop.time() < began_s + LOAD_TIMEOUT_S:
             if not ordered:
--- a/src/wisteriapulley/routing/checks.py
+++ b/src/wisteriapulley/routing/checks.py
@@ -15,19 +15,19 @@
     CatalogueError
         CATALOGUE_ENTRY_INVALID, with the first fault found.
     """
-    fault = next(faults(table), None)
-    if fault is not None:
-        raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, fault)
+    error = next(table_errors(table), None)
+    if error is not None:
+        raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, error)
 
 
-def faults(table: RoutingTable) -> Iterator[str]:
+def table_errors(table: RoutingTable) -> Iterator[str]:
     """Yield what is wrong with a table."""
-    yield from route_faults(table)
-    yield from place_faults(table)
-    yield from key_faults(table)
+    yield from route_errors(table)
+    yield from prefix_errors(table)
+    yield from key_errors(table)
 
 
-def route_faults(table: RoutingTable) -> Iterator[str]:
+def route_errors(table: RoutingTable) -> Iterator[str]:
     """Yield faults that one route shows by itself or against the services."""
     services = {service.name for service in table.services}
     for route in table.routes:
@@ -45,19 +45,19 @@
             yield f"route {route.name!r}: expected a timeout above 0 ms"
 
 
-def place_faults(table: RoutingTable) -> Iterator[str]:
+def prefix_errors(table: RoutingTable) -> Iterator[str]:
     """Yield hosts and prefixes that two routes claim."""
-    places = Counter((route.host, route.prefix) for route in table.routes)
-    for (host, prefix), count in places.items():
+    prefixes = Counter((route.host, route.prefix) for route in table.routes)
+    for (host, prefix), count in prefixes.items():
         if count > 1:
             yield f"expected one route for {host}{prefix}, got {count}"
 
 
-def key_faults(table: RoutingTable) -> Iterator[str]:
+def key_errors(table: RoutingTable) -> Iterator[str]:
     """Yield accounts that share a key; the key itself is not shown."""
-    holder: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for account in table.accounts:
         for key in account.keys:
-            other = holder.setdefault(key, account.name)
+            other = owners.setdefault(key, account.name)
             if other != account.name:
                 yield f"accounts {other!r} and {account.name!r} share a key"
--- a/src/wisteriapulley/routing/lookup.py
+++ b/src/wisteriapulley/routing/lookup.py
@@ -12,17 +12,17 @@
 
     def __init__(self, table: RoutingTable):
         self.table = table
-        self.hosts: dict[str, dict[str, Route]] = {}
+        self.routes_by_host: dict[str, dict[str, Route]] = {}
         for route in table.routes:
-            self.hosts.setdefault(route.host, {})[route.prefix] = route
+            self.routes_by_host.setdefault(route.host, {})[route.prefix] = route
         self.accounts: dict[str, Account] = {
             key: account for account in table.accounts for key in account.keys
         }
         self.services = {service.name: service for service in table.services}
 
-    def route(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix that begins `path`."""
-        prefixes = self.hosts.get(host)
+        prefixes = self.routes_by_host.get(host)
         if not prefixes:
             return None
         end = len(path)
@@ -32,6 +32,6 @@
                 return route
         return None
 
-    def account(self, key: str) -> Account | None:
+    def find_account(self, key: str) -> Account | None:
         """Return who holds a key."""
         return self.accounts.get(key)
--- a/tests/test_stated_rate.py
+++ b/tests/test_advertised_rate.py
@@ -4,10 +4,14 @@
 
 from tests.test_direct_dispatch import FakeAnswer, events, serve
 from wisteriapulley.platform.statements import parse_rate
-from wisteriapulley.policy.stated_rate import LEAST_PER_S, KnownRate, StatedRate
-from wisteriapulley.policy.statements import Statements
+from wisteriapulley.policy.advertised_rate import (
+    MIN_RATE_PER_S,
+    AdvertisedRate,
+    RateTracker,
+)
+from wisteriapulley.policy.response_signals import ResponseSignals
 
-NONE = StatedRate()
+NONE = AdvertisedRate()
 
 
 class TestParseRate:
@@ -31,43 +35,43 @@
         "text", ["", "-1", "nan", "inf", "1e3", "1_0", "1,2", "many", "9" * 400, "１"]
     )
     def test_unreadable(self, text):
-        assert parse_rate([text]) == StatedRate(None, text)
+        assert parse_rate([text]) == AdvertisedRate(None, text)
 
 
 class TestKnownRate:
     def heard(self, *words):
-        known = KnownRate()
-        changes = [known.hear(*word) for word in words]
+        known = RateTracker()
+        changes = [known.observe(*word) for word in words]
         return known, changes
 
     def test_begins_changes_and_ends_with_the_answers(self):
         known, changes = self.heard(
             (NONE, 0.0, 0.1),
-            (StatedRate(2.0), 1.0, 1.1),
-            (StatedRate(2.0), 2.0, 2.1),
-            (StatedRate(1.5), 3.0, 3.1),
+            (AdvertisedRate(2.0), 1.0, 1.1),
+            (AdvertisedRate(2.0), 2.0, 2.1),
+            (AdvertisedRate(1.5), 3.0, 3.1),
             (NONE, 4.0, 4.1),
         )
         assert changes == [False, True, True, True, True]
-        assert known.per_s is None and known.heard_s == 4.1
+        assert known.per_s is None and known.observed_s == 4.1
 
     def test_answer_that_was_overtaken_ends_nothing(self):
-        known, changes = self.heard((StatedRate(2.0), 1.0, 1.5), (NONE, 1.2, 1.6))
+        known, changes = self.heard((AdvertisedRate(2.0), 1.0, 1.5), (NONE, 1.2, 1.6))
         assert changes == [True, False]
         assert known.per_s == 2.0
 
     def test_nothing_at_all_is_asked_for_now_and_then(self):
-        known, _ = self.heard((StatedRate(0.0), 1.0, 1.1))
-        assert known.per_s == LEAST_PER_S
+        known, _ = self.heard((AdvertisedRate(0.0), 1.0, 1.1))
+        assert known.per_s == MIN_RATE_PER_S
 
     def test_what_is_no_rate_changes_nothing_and_is_told_once(self):
-        bad = StatedRate(None, "many")
+        bad = AdvertisedRate(None, "many")
         known, changes = self.heard(
-            (bad, 0.0, 0.1), (StatedRate(2.0), 1.0, 1.1), (bad, 2.0, 2.1)
+            (bad, 0.0, 0.1), (AdvertisedRate(2.0), 1.0, 1.1), (bad, 2.0, 2.1)
         )
         assert changes == [False, True, False]
         assert known.per_s == 2.0
-        assert [known.is_first_unreadable(bad) for _ in range(2)] == [True, False]
+        assert [known.is_first_invalid(bad) for _ in range(2)] == [True, False]
 
 
 class TestLogs:
@@ -78,14 +82,17 @@
 
     def test_rate_is_told_with_its_target(self, caplog):
         caplog.set_level("INFO")
-        serve(FakeAnswer([events(1, 2)], says=Statements(rate=StatedRate(1.5))))
+        serve(
+            FakeAnswer([events(1, 2)], says=ResponseSignals(rate=AdvertisedRate(1.5)))
+        )
         (line,) = self.lines(caplog, "target states a rate")
         assert (line.target, line.per_s) == ("i-0", 1.5)
 
     def test_unreadable_rate_is_told(self, caplog):
         serve(
             FakeAnswer(
-                [events(1, 2)], says=Statements(rate=StatedRate(None, "x" * 500))
+                [events(1, 2)],
+                says=ResponseSignals(rate=AdvertisedRate(None, "x" * 500)),
             )
         )
         (line,) = self.lines(caplog, "rate can't be read")
@@ -97,7 +104,7 @@
             status=421,
             other_instance=True,
             not_run=True,
-            says=Statements(rate=StatedRate(1.0)),
+            says=ResponseSignals(rate=AdvertisedRate(1.0)),
         )
         serve(other, FakeAnswer([events(1, 2)]))
         assert not self.lines(caplog, "target states a rate")
--- a/tests/test_answer_times.py
+++ b/tests/test_answer_times.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from wisteriapulley.policy.answer_times import HALF_S, LEAST_S, MOST_S, AnswerTimes
+from wisteriapulley.policy.answer_times import (
+    HALF_LIFE_S,
+    MAX_WAIT_S,
+    MIN_WAIT_S,
+    AnswerTimes,
+)
 
 
 @pytest.fixture
@@ -12,33 +17,35 @@
     """Return what an entry knows after some calm seconds."""
     known, rng = AnswerTimes(), random.Random(1)
     for n in range(200):
-        known.answered(f"h{n % 20}", 0.002 + 0.004 * rng.random(), 0.01 * n)
+        known.record_answer(f"h{n % 20}", 0.002 + 0.004 * rng.random(), 0.01 * n)
     return known
 
 
 class TestAnswerTimes:
     def test_next_one_is_asked_soon_where_answers_are_quick(self, times):
-        assert times.patience_s() == LEAST_S
+        assert times.max_wait_s() == MIN_WAIT_S
 
     def test_slow_fleet_is_waited_for(self, times):
         """An entry whose own processor is busy must not give all of them up."""
         for n in range(100):
-            times.silent(f"h{n % 20}", 2.0 + 0.01 * n)
-        assert times.patience_s() > 2 * LEAST_S
+            times.record_timeout(f"h{n % 20}", 2.0 + 0.01 * n)
+        assert times.max_wait_s() > 2 * MIN_WAIT_S
         for n in range(100):
-            times.answered(f"h{n % 20}", 10.0, 4.0)
-        assert times.patience_s() == MOST_S
+            times.record_answer(f"h{n % 20}", 10.0, 4.0)
+        assert times.max_wait_s() == MAX_WAIT_S
 
     def test_one_slow_answer_counts_at_once_and_fades(self, times):
-        times.silent("h3", 2.0)
-        assert times.expected_s("h3", 2.0) == MOST_S
-        assert times.expected_s("h3", 2.0 + 2 * HALF_S) == pytest.approx(MOST_S / 4)
+        times.record_timeout("h3", 2.0)
+        assert times.expected_s("h3", 2.0) == MAX_WAIT_S
+        assert times.expected_s("h3", 2.0 + 2 * HALF_LIFE_S) == pytest.approx(
+            MAX_WAIT_S / 4
+        )
         assert times.expected_s("h4", 2.0) < 0.01
 
     def test_quick_answers_after_a_slow_one_count_slowly(self, times):
-        times.silent("h3", 2.0)
-        times.answered("h3", 0.003, 2.1)
-        assert times.expected_s("h3", 2.1) > MOST_S / 2
+        times.record_timeout("h3", 2.0)
+        times.record_answer("h3", 0.003, 2.1)
+        assert times.expected_s("h3", 2.1) > MAX_WAIT_S / 2
 
     def test_unknown_and_forgotten_ones_are_not_slow(self, times):
         times.forget("h3")
--- a/tests/test_crash_suspects.py
+++ b/tests/test_crash_suspects.py
@@ -7,10 +7,10 @@
 import pytest
 
 from wisteriapulley.policy.crash_suspects import (
-    ENDED_ALONE,
-    MOST_TOLD,
+    MAX_INITIAL_SUSPECTS,
+    MIN_ENDED_ALONE,
     CrashSuspects,
-    Record,
+    SuspectRecord,
 )
 from wisteriapulley.wire.messages import Suspect
 
@@ -21,7 +21,7 @@
     """Return suspects after targets ended under a request."""
     suspects = CrashSuspects(**options)
     for at_s, start in enumerate(ended):
-        suspects.target_ended(digest, start, float(at_s))
+        suspects.record_crash(digest, start, float(at_s))
     return suspects
 
 
@@ -29,7 +29,7 @@
     """Return suspects after targets ended under two requests."""
     suspects = after(*ones)
     for start in others:
-        suspects.target_ended(OTHER, start, 3.0)
+        suspects.record_crash(OTHER, start, 3.0)
     return suspects
 
 
@@ -37,19 +37,19 @@
     def test_quarantined_with_the_third_target(self):
         suspects = after("a", "b")
         assert not suspects.is_quarantined(ONE)
-        suspects.target_ended(ONE, "c", 3.0)
+        suspects.record_crash(ONE, "c", 3.0)
         assert suspects.is_quarantined(ONE)
         assert not suspects.is_quarantined(OTHER)
 
     def test_those_that_share_all_targets_may_be_sent_once_more(self):
         suspects = shared("abc", "abc")
         assert suspects.quarantined() == []
-        suspects.target_ended(ONE, "d", 4.0)
+        suspects.record_crash(ONE, "d", 4.0)
         assert suspects.quarantined() == [ONE]
 
     def test_answer_of_the_neighbour_decides(self):
         suspects = shared("abc", "abc")
-        suspects.answered(OTHER, 4.0)
+        suspects.record_answer(OTHER, 4.0)
         assert suspects.quarantined() == [ONE]
 
     def test_neighbour_of_the_quarantined_goes_free(self):
@@ -64,59 +64,62 @@
 
     def test_whole_answer_clears(self):
         suspects = after("a", "b")
-        assert suspects.answered(ONE, 5.0)
-        assert not suspects.answered(ONE, 5.0)
+        assert suspects.record_answer(ONE, 5.0)
+        assert not suspects.record_answer(ONE, 5.0)
         for start in ("c", "d"):
-            suspects.target_ended(ONE, start, 6.0)
+            suspects.record_crash(ONE, start, 6.0)
             assert not suspects.is_quarantined(ONE)
 
     def test_answer_of_another_request_clears_nothing(self):
         suspects = after("a", "b", "c")
-        assert not suspects.answered(OTHER, 5.0)
+        assert not suspects.record_answer(OTHER, 5.0)
         assert suspects.is_quarantined(ONE)
 
     def test_ends_told_after_the_clearing_are_not_counted_again(self):
-        suspects, late = after("a", "b"), tuple(after("a", "b", "c").news(3.0, [ONE]))
-        suspects.answered(ONE, 5.0)
-        assert suspects.take(late, 6.0) == []
+        suspects, late = (
+            after("a", "b"),
+            tuple(after("a", "b", "c").updates(3.0, [ONE])),
+        )
+        suspects.record_answer(ONE, 5.0)
+        assert suspects.merge_updates(late, 6.0) == []
         assert not suspects.is_quarantined(ONE)
 
     def test_forgotten_in_time(self):
-        suspects = after("a", "b", "c", kept_s=100.0)
-        suspects.sweep(102.0)
+        suspects = after("a", "b", "c", retention_s=100.0)
+        suspects.remove_expired(102.0)
         assert suspects.is_quarantined(ONE)
-        suspects.sweep(102.1)
+        suspects.remove_expired(102.1)
         assert not suspects.records
 
     def test_holds_the_quarantined_longest(self):
         """More suspects than can be held: those that tell least go first."""
-        suspects = after("a", "b", "c", most=3)
-        suspects.target_ended(OTHER, "a", 4.0)
+        suspects = after("a", "b", "c", max_records=3)
+        suspects.record_crash(OTHER, "a", 4.0)
         for number in range(50):
-            suspects.target_ended(bytes([number]) * 16, "z", 5.0 + number)
+            suspects.record_crash(bytes([number]) * 16, "z", 5.0 + number)
         assert len(suspects.records) == 3
         assert suspects.is_quarantined(ONE)
         assert OTHER not in suspects.records
 
     def test_new_link_is_told_of_the_heaviest(self):
         suspects = after("a", "b", "c")
-        for number in range(2 * MOST_TOLD):
-            suspects.target_ended(number.to_bytes(16, "little"), "z", 5.0)
-        suspects.target_ended(OTHER, "z", 6.0)
-        suspects.answered(OTHER, 7.0)
-        told = suspects.heaviest()
-        assert len(told) == MOST_TOLD
+        for number in range(2 * MAX_INITIAL_SUSPECTS):
+            suspects.record_crash(number.to_bytes(16, "little"), "z", 5.0)
+        suspects.record_crash(OTHER, "z", 6.0)
+        suspects.record_answer(OTHER, 7.0)
+        told = suspects.top_suspects()
+        assert len(told) == MAX_INITIAL_SUSPECTS
         assert told[0] == ONE and OTHER not in told
 
     def test_suspect_that_tells_least_is_not_held(self):
         """All that is held tells more than one more request under one target."""
-        suspects = after("a", "b", "c", most=1)
-        record = suspects.target_ended(OTHER, "d", 9.0)
+        suspects = after("a", "b", "c", max_records=1)
+        record = suspects.record_crash(OTHER, "d", 9.0)
         assert record.ended == ("d",)
         assert list(suspects.records) == [ONE]
 
     def test_news_say_how_long_ago(self):
-        news = tuple(after("a", "b").news(11.9, [ONE]))
+        news = tuple(after("a", "b").updates(11.9, [ONE]))
         assert news == (Suspect(ONE, 0, ("a", "b"), 10),)
 
 
@@ -133,23 +136,23 @@
         outcomes = set()
         for order in itertools.permutations(news):
             suspects = CrashSuspects()
-            suspects.take(order, 0.0)
-            suspects.take(rng.choices(news, k=3), 0.0)
+            suspects.merge_updates(order, 0.0)
+            suspects.merge_updates(rng.choices(news, k=3), 0.0)
             record = suspects.records[ONE]
             outcomes.add((record.cleared, record.ended))
         assert len(outcomes) == 1
 
     def test_only_what_is_new_is_news(self):
         suspects = after("a")
-        assert suspects.take([Suspect(ONE, 0, ("a",))], 9.0) == []
-        assert suspects.take([Suspect(ONE, 0, ("b",))], 9.0) == [ONE]
-        assert suspects.take([Suspect(OTHER, 3, ())], 9.0) == []
-        assert suspects.take([Suspect(ONE, 1, ())], 9.0) == [ONE]
+        assert suspects.merge_updates([Suspect(ONE, 0, ("a",))], 9.0) == []
+        assert suspects.merge_updates([Suspect(ONE, 0, ("b",))], 9.0) == [ONE]
+        assert suspects.merge_updates([Suspect(OTHER, 3, ())], 9.0) == []
+        assert suspects.merge_updates([Suspect(ONE, 1, ())], 9.0) == [ONE]
 
     def test_ends_beyond_the_most_add_nothing(self):
         suspects = after("d", "c", "b", "a")
-        assert suspects.take([Suspect(ONE, 0, ("e", "f"))], 9.0) == []
-        assert suspects.records[ONE] == Record(0, ("a", "b", "c", "d"), 3.0)
+        assert suspects.merge_updates([Suspect(ONE, 0, ("e", "f"))], 9.0) == []
+        assert suspects.records[ONE] == SuspectRecord(0, ("a", "b", "c", "d"), 3.0)
 
 
 class Run(NamedTuple):
@@ -210,7 +213,7 @@
             self.end(run.target)
         else:
             self.answered += 1
-            self.suspects.answered(run.digest, self.now_s)
+            self.suspects.record_answer(run.digest, self.now_s)
 
     def send(self, digest, sends, returns):
         if self.suspects.is_quarantined(digest):
@@ -230,7 +233,7 @@
         broken = [run for run in self.running if run.target == target]
         self.running = [run for run in self.running if run.target != target]
         for run in broken:
-            self.suspects.target_ended(run.digest, start, self.now_s)
+            self.suspects.record_crash(run.digest, start, self.now_s)
         for run in broken:
             if run.sends:
                 self.send(run.digest, run.sends, run.returns)
@@ -251,7 +254,7 @@
         for seed in range(60):
             neighbours = Neighbours(seed)
             neighbours.play(seconds=12.0, crash_every_s=0.8)
-            assert ENDED_ALONE <= neighbours.ended <= self.ENDED_ALLOWED
+            assert MIN_ENDED_ALONE <= neighbours.ended <= self.ENDED_ALLOWED
             answered += neighbours.answered
             refused += neighbours.refused
         assert refused * self.REFUSED_ONE_IN <= answered
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -138,7 +138,7 @@
 
     @pytest.fixture(autouse=True)
     def ample_budget(self, monkeypatch):
-        monkeypatch.setattr(shared_budget, "LEAST_ENTRIES", 1)
+        monkeypatch.setattr(shared_budget, "MIN_ENTRIES", 1)
 
     def test_is_not_sent_again_in_the_same_attempt(self):
         broken = [FakeAnswer([b""], breaks=True) for _ in range(5)]
--- a/tests/test_direct_dispatch.py
+++ b/tests/test_direct_dispatch.py
@@ -20,7 +20,7 @@
 )
 from wisteriapulley.entry.metrics import EntryMetrics
 from wisteriapulley.metrics import Metrics
-from wisteriapulley.policy.statements import Statements
+from wisteriapulley.policy.response_signals import ResponseSignals
 from wisteriapulley.routing import (
     Account,
     Route,
@@ -54,7 +54,7 @@
         self.chunks, self.breaks = parts, breaks
         self.not_run = said.get("not_run", False)
         self.other_instance = said.get("other_instance", False)
-        self.says = said.get("says", Statements())
+        self.says = said.get("says", ResponseSignals())
         self.closed = False
 
     async def parts(self):
@@ -245,7 +245,7 @@
 
     def admit(self, *patiences_s):
         dispatcher = dispatcher_without_targets()
-        dispatcher.returning["r"].refused(0.0)
+        dispatcher.returning["r"].record_refusal(0.0)
         requests = (
             CallerRequest("id", "POST", "/a/", "h", "/a/", (), b"", "k", 1.0, each)
             for each in patiences_s
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -10,12 +10,12 @@
 from tests.plain_fleet import Fleet
 from tests.test_rest import insist
 from tests.test_statements import registry_of, state_of
-from wisteriapulley.policy.statements import Statements
+from wisteriapulley.policy.response_signals import ResponseSignals
 from wisteriapulley.rollout.engine import EngineReport
 
 # After so long a target that said that it leaves gets nothing any more.
 DRAIN_S = 2.0
-LEAVES = Statements(leaving=True)
+LEAVES = ResponseSignals(leaving=True)
 
 
 class TestPlainTargets:
@@ -128,7 +128,7 @@
         target = registry.targets["a"]
         assert target.hear(LEAVES, 0.9, 1.0).leaving
         assert not target.hear(LEAVES, 1.0, 1.1).leaving
-        target.hear(Statements(), 1.2, 1.3)
+        target.hear(ResponseSignals(), 1.2, 1.3)
         registry.take([state_of("a", sequence=2), state_of("b", sequence=2)], 2.0)
         assert [t.target_id for t in registry.candidates("s", 2.0)] == ["b"]
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -8,7 +8,7 @@
 from wisteriapulley.direct.progress import Admitted
 from wisteriapulley.direct.registry import TargetRegistry
 from wisteriapulley.direct.types import CallerRequest, Refusal
-from wisteriapulley.policy.choice import Load
+from wisteriapulley.policy.target_ranking import Load
 from wisteriapulley.routing import Engine, Route, RouteKind, Split
 from wisteriapulley.weights.named import NamedVersions
 from wisteriapulley.wire import messages
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -16,7 +16,7 @@
 from wisteriapulley.errors import RequestError, ResultCode
 from wisteriapulley.policy import Admission, LeastOutstanding, Scheduler, TargetView
 from wisteriapulley.policy.fair_queue import FairQueue, PriorityQueue
-from wisteriapulley.policy.outliers import Outliers
+from wisteriapulley.policy.outliers import OutlierDetector
 from wisteriapulley.policy.service_times import ServiceTimes
 from wisteriapulley.policy.work import Work
 
@@ -78,18 +78,18 @@
 
     def test_refusal_says_when_to_come_back(self):
         scheduler = Scheduler(LeastOutstanding(random.Random(1)))
-        scheduler.times.learn(work(), 1.0)
+        scheduler.times.record(work(), 1.0)
         full = [TargetView("t", 1)]
         for number in range(3):
-            assert scheduler.offer(work(number), full, 1, 0.0) is None
+            assert scheduler.submit(work(number), full, 1, 0.0) is None
         with pytest.raises(RequestError) as caught:
-            scheduler.offer(work(9, deadline_s=2.0), full, 1, 0.0)
+            scheduler.submit(work(9, deadline_s=2.0), full, 1, 0.0)
         assert caught.value.code == ResultCode.OVERLOADED
         assert 1000 <= caught.value.retry_after_ms <= 3000
 
     def test_no_target_is_refused_at_once(self):
         with pytest.raises(RequestError) as caught:
-            Scheduler(None).offer(work(), [], 1, 0.0)
+            Scheduler(None).submit(work(), [], 1, 0.0)
         assert caught.value.code == ResultCode.NO_TARGET
 
     def test_own_requests_correct_a_lagging_report(self):
@@ -144,21 +144,21 @@
 
 class TestOutliers:
     def learned(self, ratios, times=4):
-        outliers = Outliers()
+        outliers = OutlierDetector()
         for _ in range(times):
             for name, ratio in ratios.items():
-                outliers.learn(name, ratio, 0.0)
+                outliers.record(name, ratio, 0.0)
         return outliers
 
     def test_slow_one_is_out_and_probed_back(self):
         outliers = self.learned({"a": 1.0, "b": 1.0, "c": 1.0, "slow": 9.0})
         assert list(outliers.ejected) == ["slow"]
-        assert outliers.due(4.0) is None
-        assert (outliers.due(5.5), outliers.due(5.6)) == ("slow", None)
-        outliers.learn("slow", 1.0, 5.7)
-        outliers.learn("slow", 9.0, 6.0, probe=True)
-        assert (list(outliers.ejected), outliers.due(11.0)) == (["slow"], None)
-        outliers.learn("slow", 1.0, 17.0, probe=True)
+        assert outliers.next_probe(4.0) is None
+        assert (outliers.next_probe(5.5), outliers.next_probe(5.6)) == ("slow", None)
+        outliers.record("slow", 1.0, 5.7)
+        outliers.record("slow", 9.0, 6.0, probe=True)
+        assert (list(outliers.ejected), outliers.next_probe(11.0)) == (["slow"], None)
+        outliers.record("slow", 1.0, 17.0, probe=True)
         assert not outliers.ejected
 
     def test_when_all_are_slow_load_is_the_cause(self):
@@ -173,21 +173,21 @@
 
     def test_targets_that_went_are_forgotten(self):
         outliers = self.learned({"a": 1.0, "b": 1.0, "c": 9.0})
-        outliers.keep(["a"])
+        outliers.retain(["a"])
         assert (list(outliers.ratios), outliers.ejected) == (["a"], {})
 
 
 class TestServiceTimes:
     def test_unseen_size_is_scaled_from_a_neighbour(self):
         times = ServiceTimes()
-        assert times.expect(work(units=4.0)).mean == 0.0
-        times.learn(work(units=4.0), 1.0)
-        assert times.expect(work(units=16.0)).mean == 4.0
+        assert times.estimate(work(units=4.0)).mean == 0.0
+        times.record(work(units=4.0), 1.0)
+        assert times.estimate(work(units=16.0)).mean == 4.0
 
 
 class TestAdmission:
     def test_rate_is_by_account_and_invented_accounts_do_not_grow(self):
-        admission = Admission(limit=3)
+        admission = Admission(max_buckets=3)
         limits = Limits(requests_per_s=10.0, burst=2)
         for _ in range(2):
             admission.admit("a", "e", limits, 0.0)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -8,14 +8,14 @@
 import pytest
 
 from tests.fakes.links import WrittenLink
-from tests.test_places import ENGINE, open_places, wish
+from tests.test_engine_slots import ENGINE, open_slots, slot_request
 from tests.test_slot_admission import EntryLink, make_admission, reserve
 from wisteriapulley.control.rate_owner import RateOwner
 from wisteriapulley.direct.limited import LimitedTargets
 from wisteriapulley.direct.registry import Target
 from wisteriapulley.errors import ResultCode, WireError
-from wisteriapulley.policy.stated_rate import BURST_S, KEPT_S, RateLimits
-from wisteriapulley.rollout.admission import PlacesState
+from wisteriapulley.policy.advertised_rate import BURST_S, RETENTION_S, RateLimits
+from wisteriapulley.rollout.admission import AdmissionState
 from wisteriapulley.wire import Frame, codec, messages
 from wisteriapulley.wire.messages import Passage, PassageQuery, TargetRate, TargetState
 
@@ -40,7 +40,7 @@
     for step in range(int(seconds / step_s)):
         now_s = step * step_s
         for _ in range(senders):
-            limits.hear(ONE, per_s, now_s)
+            limits.update(ONE, per_s, now_s)
             if limits.take(ONE, now_s):
                 passed.append(now_s)
     return passed
@@ -56,7 +56,7 @@
 
     def test_nothing_passes_at_once_by_a_limit_that_is_new(self):
         limits = RateLimits()
-        limits.hear(ONE, 2.0, 10.0)
+        limits.update(ONE, 2.0, 10.0)
         assert not limits.take(ONE, 10.0)
         assert limits.wait_s(ONE, 10.0) == pytest.approx(0.5)
         assert limits.take(ONE, 10.5)
@@ -68,18 +68,18 @@
 
     def test_another_start_begins_without_a_limit(self):
         limits = RateLimits()
-        limits.hear(ONE, 1.0, 0.0)
+        limits.update(ONE, 1.0, 0.0)
         assert not limits.take(ONE, 0.1)
         assert limits.take("i-1/1700000000000", 0.1)
 
     def test_newer_word_counts_whoever_tells_it(self):
         limits = RateLimits()
-        limits.hear(ONE, 1.0, 5.0)
-        limits.hear(ONE, None, 6.0)
-        limits.hear(ONE, 1.0, 5.5)
+        limits.update(ONE, 1.0, 5.0)
+        limits.update(ONE, None, 6.0)
+        limits.update(ONE, 1.0, 5.5)
         assert not limits.is_limited(ONE)
-        limits.hear(ONE, 3.0, 7.0)
-        limits.hear(ONE, None, 6.5)
+        limits.update(ONE, 3.0, 7.0)
+        limits.update(ONE, None, 6.5)
         assert limits.is_limited(ONE)
 
     def test_change_gives_no_new_burst(self):
@@ -87,64 +87,64 @@
         limits, passed = RateLimits(), []
         for step in range(400):
             now_s = step * 0.02
-            limits.hear(ONE, 1.0 + step % 2, now_s)
+            limits.update(ONE, 1.0 + step % 2, now_s)
             if limits.take(ONE, now_s):
                 passed.append(now_s)
         assert most_in_window(passed) <= allowed(1.0)
 
     def test_rest_gives_a_short_burst(self):
         limits = RateLimits()
-        limits.hear(ONE, 20.0, 0.0)
+        limits.update(ONE, 20.0, 0.0)
         assert not limits.take(ONE, 0.0)
         passed = sum(limits.take(ONE, 100.0) for _ in range(100))
         assert passed == 20 * BURST_S
 
     def test_very_large_rate_stops_nothing(self):
         limits = RateLimits()
-        limits.hear(ONE, 1e300, 0.0)
+        limits.update(ONE, 1e300, 0.0)
         assert not limits.take(ONE, 0.0)
         assert all(limits.take(ONE, 0.01) for _ in range(1000))
 
     def test_target_that_is_gone_is_forgotten(self):
         limits = RateLimits()
-        limits.hear(ONE, 1.0, 0.0)
-        limits.sweep(KEPT_S)
+        limits.update(ONE, 1.0, 0.0)
+        limits.remove_expired(RETENTION_S)
         assert limits.limits
-        limits.sweep(KEPT_S + 1)
+        limits.remove_expired(RETENTION_S + 1)
         assert not limits.limits
 
 
 class TestPlacesWithARate:
     def limited(self, per_s=2.0):
-        places = open_places()
-        places.rates.hear("", per_s, 0.0)
+        places = open_slots()
+        places.rate_limits.update("", per_s, 0.0)
         return places
 
     def test_request_beyond_it_is_denied_at_once_with_a_time(self):
         places = self.limited()
-        verdict = places.ask(wish(1), 0.0)
+        verdict = places.request_slot(slot_request(1), 0.0)
         assert verdict.denied and verdict.retry_ms == pytest.approx(500.0)
-        assert places.ask(wish(2), 500.0).granted
-        assert places.ask(wish(3), 500.0).denied
+        assert places.request_slot(slot_request(2), 500.0).granted
+        assert places.request_slot(slot_request(3), 500.0).denied
         assert not places.queue
 
     def test_those_that_wait_when_it_is_stated_may_go_elsewhere(self):
-        places = open_places()
+        places = open_slots()
         for number in range(40):
-            places.ask(wish(number, tokens=1, wait_ms=5000.0), 0.0)
+            places.request_slot(slot_request(number, tokens=1, wait_ms=5000.0), 0.0)
         assert places.queue
         waiting = len(places.queue)
-        places.rates.hear("", 1.0, 0.0)
+        places.rate_limits.update("", 1.0, 0.0)
         verdicts = list(places.advance(1.0))
         assert len(verdicts) == waiting
         assert all(verdict.denied and verdict.retry_ms > 0 for verdict in verdicts)
 
     def test_ends_with_the_word_that_there_is_none(self):
         places = self.limited()
-        assert places.ask(wish(1), 0.0).denied
-        places.rates.hear("", None, 0.1)
-        assert places.ask(wish(2), 100.0).granted
-        assert places.ask(wish(3), 100.0).granted
+        assert places.request_slot(slot_request(1), 0.0).denied
+        places.rate_limits.update("", None, 0.1)
+        assert places.request_slot(slot_request(2), 100.0).granted
+        assert places.request_slot(slot_request(3), 100.0).granted
 
 
 class TestSidecar:
@@ -160,7 +160,7 @@
             links = [EntryLink() for _ in range(6)]
             news = TargetRate("", 1.5, 0)
             await admission.receive(news, links[0], Frame(0, 0, news))
-            assert admission.heartbeat().state == PlacesState.LIMITED.value
+            assert admission.heartbeat().state == AdmissionState.LIMITED.value
             for step in range(600):
                 now.ms = step * 20.0
                 link = links[step % 6]
@@ -325,7 +325,7 @@
 
 def limited_target(per_s=2.0, heard_s=0.0):
     target = Target(TargetState("i-1", "s", "10.0.0.1:80", "z"), 0.0)
-    target.rate.per_s, target.rate.heard_s = per_s, heard_s
+    target.rate.per_s, target.rate.observed_s = per_s, heard_s
     return target
 
 
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -5,7 +5,7 @@
 from tests import plain_fleet, test_platform_path
 from tests.fakes.plain import PlainTarget
 from tests.plain_fleet import Fleet
-from wisteriapulley.policy.circuit_breaker import MOST_PAUSE_S
+from wisteriapulley.policy.circuit_breaker import MAX_OPEN_S
 
 # What the users allow: so many requests from one instance between half a second
 # after the answer and the end of the rest.
@@ -91,7 +91,7 @@
             await fleet.until(told)
             before = away.turned_away
             answers = await insist(lambda name: fleet.ask(0, name.encode()), REST_S)
-            most = REST_S / MOST_PAUSE_S + CALLERS
+            most = REST_S / MAX_OPEN_S + CALLERS
             assert away.turned_away - before <= most < len(answers)
             assert {status for status, _ in answers} == {200}
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -116,21 +116,21 @@
 class TestLookup:
     def test_longest_prefix_wins(self):
         index = RouteIndex(table(route("short"), route("long", prefix="/x/y/")))
-        assert index.route("a.example", "/x/y/z").name == "long"
-        assert index.route("a.example", "/x/yy").name == "short"
-        assert index.route("a.example", "/x/").name == "short"
+        assert index.find_route("a.example", "/x/y/z").name == "long"
+        assert index.find_route("a.example", "/x/yy").name == "short"
+        assert index.find_route("a.example", "/x/").name == "short"
 
     @pytest.mark.parametrize("path", ["/x", "/", "", "x/", "/xx/", "*"])
     def test_no_prefix(self, path):
-        assert RouteIndex(table(route())).route("a.example", path) is None
+        assert RouteIndex(table(route())).find_route("a.example", path) is None
 
     def test_other_host(self):
-        assert RouteIndex(table(route())).route("b.example", "/x/") is None
+        assert RouteIndex(table(route())).find_route("b.example", "/x/") is None
 
     def test_account_of_a_key(self):
         index = RouteIndex(table(route(), accounts=(Account("t", ("k",)),)))
-        assert index.account("k").name == "t"
-        assert index.account("other") is None
+        assert index.find_account("k").name == "t"
+        assert index.find_account("other") is None
 
 
 class TestChecks:
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -17,9 +17,9 @@
     for number in range(int(per_s * WINDOW_S)):
         now_s = number / per_s
         budget = budgets[number % entries]
-        budget.know_entries(told)
-        budget.note_request(now_s)
-        sends += budget.take(now_s)
+        budget.update_entries(told)
+        budget.record_request(now_s)
+        sends += budget.spend(now_s)
     return sends
 
 
@@ -34,9 +34,9 @@
     def test_larger_fleet_is_not_forgotten(self):
         """Instances that are cut off know of few entries."""
         budget = SharedRetryBudget(RATIO, SLACK, WINDOW_S)
-        budget.know_entries(100)
-        budget.know_entries(3)
-        assert [budget.take(0.0) for _ in range(2)] == [True, False]
+        budget.update_entries(100)
+        budget.update_entries(3)
+        assert [budget.spend(0.0) for _ in range(2)] == [True, False]
 
 
 class TestEntriesInFleet:
--- a/tests/test_sidecars.py
+++ b/tests/test_sidecars.py
@@ -6,7 +6,7 @@
 from wisteriapulley.direct.registry import TargetRegistry
 from wisteriapulley.direct.sidecars import OPENING_STATE, Sidecars
 from wisteriapulley.errors import ResultCode, WireError
-from wisteriapulley.policy.answer_times import MOST_S
+from wisteriapulley.policy.answer_times import MAX_WAIT_S
 from wisteriapulley.wire import Frame, messages
 from wisteriapulley.wire.call import Call
 from wisteriapulley.wire.handshake import Identity
@@ -104,7 +104,7 @@
             answer = await sidecars.ask(link, registry.targets["i-1"], QUESTION)
             assert answer == GRANT
 
-        play(scenario, queued_s=0.01, answer_s=2 * MOST_S)
+        play(scenario, queued_s=0.01, answer_s=2 * MAX_WAIT_S)
 
     def test_heartbeat_does_not_stand_for_an_answer(self):
         """Over a narrow link old heartbeats come while the question still waits."""
@@ -113,7 +113,7 @@
             assert await sidecars.ask(link, registry.targets["i-1"], QUESTION) is None
             assert link.posted == [messages.Release("r")]
 
-        play(scenario, alive_s=0.01, answer_s=2 * MOST_S)
+        play(scenario, alive_s=0.01, answer_s=2 * MAX_WAIT_S)
 
     def test_link_that_closes_tells_nothing_of_how_quick_the_next_is(self):
         """A sidecar that has just started again has places, and is not slow."""
@@ -125,7 +125,7 @@
             closed = WireError(ResultCode.LINK_CLOSED, "sidecar")
             link.calls[1].replies.put_nowait(closed)
             assert await asking is None
-            assert sidecars.load_of(target, now_s()).taken == 0
+            assert sidecars.load_of(target, now_s()).outstanding == 0
 
         play(scenario)
 
@@ -136,9 +136,9 @@
             target = registry.targets["i-1"]
             await sidecars.ask(link, target, QUESTION)
             load = sidecars.load_of(target, now_s())
-            assert load.taken > load.slots
+            assert load.outstanding > load.slots
 
-        play(scenario, alive_s=0.01, answer_s=2 * MOST_S)
+        play(scenario, alive_s=0.01, answer_s=2 * MAX_WAIT_S)
 
     def test_caller_that_left_gives_its_place_back(self):
         async def scenario(sidecars, link, registry):
@@ -157,7 +157,7 @@
             target = registry.targets["i-1"]
             link.peer_heartbeat = messages.Heartbeat(state=OPENING_STATE)
             assert sidecars.may_be_asked(target)
-            assert sidecars.load_of(target, now_s()).taken >= target.slots
+            assert sidecars.load_of(target, now_s()).outstanding >= target.slots
 
         play(scenario)
 
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -17,10 +17,10 @@
     parse_rest,
     parse_statements,
 )
-from wisteriapulley.policy.statements import (
-    KnownRest,
-    StatedRest,
-    Statements,
+from wisteriapulley.policy.response_signals import (
+    CooldownTracker,
+    RequestedCooldown,
+    ResponseSignals,
     TargetLoad,
 )
 from wisteriapulley.weights.named import NamedVersions
@@ -63,14 +63,14 @@
         + ["Thu, 99 Dec 2026 12:00:04 GMT", "1 Jan 1 0:0:0 +9999999999999999999"],
     )
     def test_unreadable(self, text):
-        assert rest(text) == StatedRest(0.0, text)
+        assert rest(text) == RequestedCooldown(0.0, text)
 
     def test_date_without_the_answers_own_is_unreadable(self):
-        assert rest(DATE, date="").unreadable == DATE
+        assert rest(DATE, date="").invalid_text == DATE
 
     @pytest.mark.parametrize("status", [200, 421, 429, 500])
     def test_other_statuses_say_nothing_of_the_target(self, status):
-        assert rest("3", status=status) == StatedRest()
+        assert rest("3", status=status) == RequestedCooldown()
 
 
 class TestParseStatements:
@@ -84,11 +84,11 @@
         says = parse_statements(503, CIMultiDict(headers))
         assert says.load == TargetLoad(3, 0, 8)
         assert says.rate.per_s == 1.5
-        assert says.rest.seconds == 3.0
+        assert says.cooldown.seconds == 3.0
         assert says.leaving
 
     def test_answer_that_says_nothing(self):
-        assert parse_statements(200, CIMultiDict()) == Statements()
+        assert parse_statements(200, CIMultiDict()) == ResponseSignals()
 
     @pytest.mark.parametrize("text", ["", "0", "no", "-1", "11"])
     def test_only_a_clear_word_means_leaving(self, text):
@@ -101,7 +101,7 @@
         self, caplog
     ):
         caplog.set_level("INFO")
-        says = Statements(rest=StatedRest(3.0))
+        says = ResponseSignals(cooldown=RequestedCooldown(3.0))
         away = FakeAnswer(status=503, not_run=True, says=says)
         serve(away, FakeAnswer([events(1, 2)]))
         (line,) = [
@@ -112,8 +112,10 @@
 
 class TestKnownRest:
     def heard(self, *words):
-        known = KnownRest()
-        begins = [known.hear(StatedRest(rest_s), now_s) for rest_s, now_s in words]
+        known = CooldownTracker()
+        begins = [
+            known.observe(RequestedCooldown(rest_s), now_s) for rest_s, now_s in words
+        ]
         return known, begins
 
     def test_longest_word_counts(self):
@@ -127,8 +129,8 @@
         assert begins == [True, True]
 
     def test_what_is_no_time_is_told_once(self):
-        known, bad = KnownRest(), StatedRest(0.0, "soon")
-        assert [known.is_first_unreadable(bad) for _ in range(2)] == [True, False]
+        known, bad = CooldownTracker(), RequestedCooldown(0.0, "soon")
+        assert [known.is_first_invalid(bad) for _ in range(2)] == [True, False]
 
 
 def registry_of(*names, now_s=0.0):
@@ -145,14 +147,14 @@
 class TestTargetAtRest:
     """Whose word it is, and for how long."""
 
-    REST = Statements(rest=StatedRest(30.0))
+    REST = ResponseSignals(cooldown=RequestedCooldown(30.0))
 
     def test_news_of_control_instances_end_no_rest(self):
         registry = registry_of("a")
         target = registry.targets["a"]
         target.hear(self.REST, 0.9, 1.0)
         registry.take([state_of("a", sequence=2)], 2.0)
-        target.hear(Statements(), 0.8, 2.0)
+        target.hear(ResponseSignals(), 0.8, 2.0)
         assert registry.candidates("s", 3.0) == []
         assert target.wait_s(3.0) == 28.0
 
@@ -177,7 +179,7 @@
         a, b, c = registry.targets.values()
         a.hear(self.REST, 0.9, 1.0)
         assert registry.holds_back_s("s", 1.0) == 0.0
-        b.hear(Statements(rest=StatedRest(3.0)), 0.9, 1.0)
+        b.hear(ResponseSignals(cooldown=RequestedCooldown(3.0)), 0.9, 1.0)
         c.state = c.state._replace(leaving=True)
         assert registry.holds_back_s("s", 1.5) == 2.5
         b.state = b.state._replace(gone=True)
@@ -204,7 +206,11 @@
                 async def ask(self, link, target, question):
                     if len(self.questions) < rests:
                         now_s = asyncio.get_running_loop().time()
-                        target.hear(Statements(rest=StatedRest(3.0)), now_s, now_s)
+                        target.hear(
+                            ResponseSignals(cooldown=RequestedCooldown(3.0)),
+                            now_s,
+                            now_s,
+                        )
                     return await super().ask(link, target, question)
 
                 def give_back(self, link, request_id, *outcome):
@@ -236,7 +242,7 @@
 
 
 class TestRequestThatIsTurnedAway:
-    REST = Statements(rest=StatedRest(1.2))
+    REST = ResponseSignals(cooldown=RequestedCooldown(1.2))
 
     def away(self):
         return FakeAnswer(status=503, not_run=True, says=self.REST)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -7,7 +7,7 @@
 
 DOMAINS = ("palermo", "catania", "agrigento", "messina", "trapani")
 REGIONS = Regions({domain: domain for domain in DOMAINS})
-LIMITS = SubsetLimits(total=28, near=22)
+LIMITS = SubsetLimits(total=28, same_region=22)
 
 
 def fleet(count, domains=DOMAINS):
@@ -36,8 +36,8 @@
         own = entries(1)[0]
         chosen = choose_subset(members, own, REGIONS, LIMITS)
         near = {m.name for m in members if m.failure_domain == own.failure_domain}
-        assert len(near & set(chosen)) == LIMITS.near
-        assert set(chosen[: LIMITS.near]) <= near
+        assert len(near & set(chosen)) == LIMITS.same_region
+        assert set(chosen[: LIMITS.same_region]) <= near
 
     def test_one_region_takes_all_of_the_links(self):
         own = Member("entry", "palermo")
