--- a/src/wisteriapulley/emulator/__init__.py
+++ b/src/wisteriapulley/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""A fleet of engines on a virtual clock, run by the product's own decisions."""
+"""Emulated fleet of engines on a virtual clock, driven by the production policies."""
 
 from wisteriapulley.emulator.fleet import Fleet, Outcome, Scenario
 from wisteriapulley.emulator.mixes import MIXES, RequestKind, RequestMix
--- a/src/wisteriapulley/emulator/engine.py
+++ b/src/wisteriapulley/emulator/engine.py
@@ -1,4 +1,4 @@
-"""An engine that works in passes, on a virtual clock."""
+"""A batching engine on a virtual clock."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -19,12 +19,12 @@
 
     Parameters
     ----------
-    figures : Engine
-        Its figures.
-    later : callable
-        Calls a function after so many milliseconds.
+    parameters : Engine
+        Its parameters.
+    schedule : callable
+        Calls a function after a delay in milliseconds.
     on_first, on_end : callable
-        Told the request whose first event came, or that ended.
+        Called with the id of a request at its first event, and at its end.
     """
 
     def __init__(
@@ -47,19 +47,19 @@
         self.busy_slot_ms = 0.0
 
     def submit(self, job: Job) -> None:
-        """Take a request."""
+        """Add a request."""
         self.waiting.append(job)
         if not self.step_running:
             self.begin_batch_step()
 
     def load(self, load_ms: float, on_loaded: Callable[[], None]) -> None:
-        """Load new weights once all that is here has ended."""
+        """Load new weights once all requests have ended."""
         self.load_ms, self.on_loaded = load_ms, on_loaded
         if not self.step_running:
             self.begin_batch_step()
 
     def begin_batch_step(self) -> None:
-        """Read the prompts that came, and run the steps of a pass."""
+        """Prefill new prompts, and run the decode steps of a batch step."""
         prefill_ms = 0.0
         while self.waiting and len(self.running) < self.parameters.slots:
             job = self.waiting.pop(0)
@@ -79,7 +79,7 @@
         self.schedule(batch_step_ms, self.end_batch_step)
 
     def end_batch_step(self) -> None:
-        """Make an event of each request."""
+        """Emit an event of each request."""
         for request_id in tuple(self.running):
             if request_id in self.before_first_event:
                 self.before_first_event.discard(request_id)
@@ -91,7 +91,7 @@
         self.begin_batch_step()
 
     def begin_load(self) -> None:
-        """Load, if that was ordered."""
+        """Load new weights, if requested."""
         if self.on_loaded is None:
             return
         on_loaded, self.on_loaded = self.on_loaded, None
--- a/src/wisteriapulley/emulator/experiment.py
+++ b/src/wisteriapulley/emulator/experiment.py
@@ -1,27 +1,27 @@
-"""Runs ways of deciding side by side on the same arrivals, and writes a table."""
+"""Runs policy variants on the same arrivals, and formats the results as a table."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
 
 from wisteriapulley.emulator.fleet import Fleet, Outcome, Scenario
 
-# Each row changes one decision of the base.
+# Each variant changes one setting of the base scenario.
 VARIANTS = {
     "as built": {},
     "no change of weights": {"change_s": 0.0},
     "change: long requests refused early (overrun 100 ms)": {"max_overrun_ms": 100.0},
-    "change: anything admitted until it": {"max_overrun_ms": 9000.0},
-    "no extra place": {"extra_slots": 0},
-    "three extra places": {"extra_slots": 3},
+    "change: all requests admitted until it": {"max_overrun_ms": 9000.0},
+    "no extra slot": {"extra_slots": 0},
+    "three extra slots": {"extra_slots": 3},
     "two sidecars asked": {"max_asked": 2},
     "late requests compete with new ones": {"deprioritize_late": False},
-    "refused callers come back in 250 ms": {"spread_retries": False},
+    "refused callers retry after 250 ms": {"spread_retries": False},
     "no margin for the network": {"margin_ms": 0.0},
 }
 
 
 class Row(NamedTuple):
-    """Mean outcome of one variant over some seeds."""
+    """Mean outcome of one variant over several seeds."""
 
     name: str
     in_time: float
@@ -32,7 +32,7 @@
 
 
 def run_variants(base: Scenario, seeds: int) -> Iterator[Row]:
-    """Play every variant with the same seeds."""
+    """Run every variant with the same seeds."""
     for name, changes in VARIANTS.items():
         outcomes = [
             Fleet(base._replace(seed=seed, **changes)).run()
@@ -42,7 +42,7 @@
 
 
 def average(name: str, outcomes: list[Outcome]) -> Row:
-    """Average outcomes; the first three columns are shares of the requests."""
+    """Average outcomes; the first three columns are fractions of the requests."""
     asked = sum(o.requests for o in outcomes)
     return Row(
         name,
--- a/src/wisteriapulley/emulator/fleet.py
+++ b/src/wisteriapulley/emulator/fleet.py
@@ -1,7 +1,7 @@
 """Entries, sidecars and engines on a virtual clock.
 
-The queue of places, the order of change and the choice of a target are the
-product's own code; what is left out is the network, the processes and failures.
+The slot queue, the order of change and the choice of a target are the production code.
+The network, the processes and failures are left out.
 """
 
 import heapq
@@ -27,53 +27,53 @@
 from wisteriapulley.rollout.switch_order import SwitchRank, switch_due_ms
 
 LOAD_MS = 300.0
-# From a message to its receiver; regions are left out.
+# One-way delay of a message; regions are not modelled.
 NETWORK_DELAY_MS = 1.0
 ADVANCE_INTERVAL_MS = 20.0
-# A refused caller comes back once.
+# A refused caller retries once.
 MAX_RETRIES = 1
 ESTIMATE_SPREAD = 0.5
-# The most that a caller waits in all.
+# Longest time that a caller waits in all.
 MAX_CALLER_WAIT_MS = 6000.0
 
 
 class Scenario(NamedTuple):
-    """What is played.
+    """Parameters of a run.
 
     Attributes
     ----------
     mix : str
-        Whose requests.
+        Name of the request mix.
     engines : int
-        How many serve.
+        Number of engines.
     load : float
-        Requests a second, as a share of the mix's peak.
+        Request rate, as a fraction of the mix's peak.
     seconds : float
-        How long.
+        Duration of the arrivals.
     change_s : float
         When a version of weights is accepted; 0 for never.
-    copy_ms, old_version_ms : float
-        How long its copy takes, and the older version may serve.
+    download_ms, superseded_ms : float
+        How long its download takes, and how long the superseded version may serve.
     margin_ms : float
-        Left of each objective for the network.
-    overrun_ms : float
+        Part of each objective that is reserved for the network.
+    max_overrun_ms : float
         How long after an engine's change a request may still run there.
-    extra_places : int
-        Places granted beyond the slots.
-    asked : int
-        Sidecars that a request asks in turn.
-    late_last : bool
-        Whether late requests get only what new ones leave.
-    spread_returns : bool
-        Whether refused callers are told to come back later, and spread.
-    patience_spread : float
-        Callers wait for up to this share less than the most patient one.
-    limited : int
-        Engines that state a rate.
+    extra_slots : int
+        Slots granted beyond the engine's own.
+    max_asked : int
+        Maximum number of sidecars that a request asks in turn.
+    deprioritize_late : bool
+        Whether late requests get only the slots that new ones leave.
+    spread_retries : bool
+        Whether refused callers are told to retry later, and spread.
+    max_wait_spread : float
+        Callers wait for up to this fraction less than the longest wait.
+    limited_engines : int
+        Number of engines that advertise a rate.
     limit_per_s : float
-        That rate, in requests a second.
+        That rate, in requests per second.
     seed : int
-        Of the arrivals.
+        Seed of the arrivals.
     """
 
     mix: str = "trinacria"
@@ -96,14 +96,14 @@
 
 
 class Outcome(NamedTuple):
-    """What became of the requests.
+    """Results of a run.
 
     Attributes
     ----------
-    asked, in_time, late, refused : int
-        Requests, and how they ended.
+    requests, in_time, late, refused : int
+        Number of requests, and of each outcome.
     worth : float
-        Share of the whole worth that was earned.
+        Earned fraction of the total worth.
     worst : float
         The same in the worst two seconds.
     """
@@ -117,7 +117,7 @@
 
 
 class EmulatedRequest:
-    """One request on its way."""
+    """One request and its state."""
 
     def __init__(
         self,
@@ -169,7 +169,7 @@
         ]
 
     def new_engine_slots(self) -> EngineSlots:
-        """Make the places of one engine."""
+        """Return the slots of one engine."""
         slots = EngineSlots(
             ENGINE, self.scenario.extra_slots, self.scenario.max_overrun_ms
         )
@@ -177,7 +177,7 @@
         return slots
 
     def schedule(self, delay_ms: float, call: Callable[[], None]) -> None:
-        """Call a function after a time."""
+        """Call a function after a delay."""
         self.last_sequence += 1
         heapq.heappush(self.events, (self.now_ms + delay_ms, self.last_sequence, call))
 
@@ -196,14 +196,14 @@
     # -- requests --------------------------------------------------------
 
     def generate_arrival(self) -> None:
-        """Let the next request come, and the one after it."""
+        """Generate a request, and schedule the next one."""
         mix = MIXES[self.scenario.mix]
         if self.now_ms > self.scenario.seconds * 1000:
             return
         weights = [kind.relative_rate for kind in mix.kinds]
         kind = self.rng.choices(mix.kinds, weights)[0]
         prompt, events = draw_sizes(self.rng, kind)
-        # Callers' estimates are right in the median only.
+        # Callers' estimates are correct only in the median.
         error = self.rng.lognormvariate(0.0, ESTIMATE_SPREAD)
         expected = max(1, round(events * error))
         reduction = self.scenario.max_wait_spread * self.max_wait_rng.random()
@@ -217,7 +217,7 @@
         self.schedule(gap_ms, self.generate_arrival)
 
     def submit(self, request: EmulatedRequest) -> None:
-        """Choose the order in which sidecars are asked, and ask the first."""
+        """Choose the order in which to ask sidecars, and ask the first one."""
         remaining_s = self.remaining_wait_ms(request) / 1000
         request.is_retry = self.retry_detector.is_retry(remaining_s, self.now_ms / 1000)
         open_engines = [n for n, places in enumerate(self.engine_slots) if places.open]
@@ -226,12 +226,12 @@
         self.ask_next_engine(request)
 
     def reported_load(self, number: int) -> int:
-        """Return what an engine's sidecar says of its load."""
+        """Return the load that an engine's sidecar reports."""
         slots = self.engine_slots[number]
         return len(slots.grants) + len(slots.queue)
 
     def ask_next_engine(self, request: EmulatedRequest) -> None:
-        """Ask sidecars in turn until one grants a place or lets it wait."""
+        """Ask sidecars in turn until one grants a slot or queues the request."""
         while request.candidates and request.asks_left:
             number = request.candidates.pop(0)
             decision = self.engine_slots[number].request_slot(
@@ -248,7 +248,7 @@
         self.schedule_retry(request)
 
     def slot_request(self, request: EmulatedRequest) -> SlotRequest:
-        """Make the wish for a place; one that is late goes last."""
+        """Return the slot request; late requests get the lowest priority."""
         remaining_ms = request.kind.objective_ms - (self.now_ms - request.at_ms)
         remaining_ms -= self.scenario.margin_ms
         late = remaining_ms <= 0 or request.is_retry
@@ -263,7 +263,7 @@
         )
 
     def schedule_retry(self, request: EmulatedRequest) -> None:
-        """Let a caller come back once, within a share of the time it has left."""
+        """Let a caller retry once, within a fraction of its remaining time."""
         if request.retries >= MAX_RETRIES:
             return
         request.retries += 1
@@ -284,7 +284,7 @@
         self.schedule(2 * NETWORK_DELAY_MS, lambda: self.engines[number].submit(job))
 
     def record_first_event(self, request_id: str) -> None:
-        """Note when a first event came."""
+        """Record the outcome at the first event."""
         request = self.requests[request_id]
         in_time = self.now_ms - request.at_ms <= request.kind.objective_ms
         request.outcome = "in_time" if in_time else "late"
@@ -293,7 +293,7 @@
         )
 
     def release_slot(self, request_id: str) -> None:
-        """Give the place back, a moment later."""
+        """Release the slot after the network delay."""
         number = self.asked_engine[request_id]
 
         def give_back() -> None:
@@ -303,18 +303,18 @@
         self.schedule(2 * NETWORK_DELAY_MS, give_back)
 
     def advance_all_queues(self) -> None:
-        """Look at all queues now and then, as sidecars do."""
+        """Advance all queues periodically, as sidecars do."""
         for number in range(len(self.engine_slots)):
             self.advance_queue(number)
         self.schedule(ADVANCE_INTERVAL_MS, self.advance_all_queues)
 
     def advance_queue(self, number: int) -> None:
-        """Tell those that waited what became of them."""
+        """Apply the decisions on queued requests."""
         for decision in tuple(self.engine_slots[number].advance(self.now_ms)):
             self.apply_decision(decision, number)
 
     def apply_decision(self, decision: AdmissionDecision, number: int) -> None:
-        """Go on with a request that waited."""
+        """Send a request that was queued, or ask the next sidecar."""
         request = self.waiting.pop(decision.request_id)
         if decision.granted:
             self.send_to_engine(request, number)
@@ -324,7 +324,7 @@
     # -- weights ---------------------------------------------------------
 
     def schedule_changes(self) -> None:
-        """Let each engine change in its turn."""
+        """Schedule each engine's change in its turn."""
         scenario = self.scenario
         for number in range(scenario.engines):
             turn = SwitchRank(number, scenario.engines)
@@ -336,7 +336,7 @@
             self.schedule(at_ms, self.change_action(number))
 
     def change_announcement(self, number: int, at_ms: float) -> Callable[[], None]:
-        """Make the call that tells an engine's places of its change."""
+        """Return a function that announces a change to an engine's slots."""
 
         def announce() -> None:
             self.engine_slots[number].closes_at_ms = at_ms
@@ -344,7 +344,7 @@
         return announce
 
     def change_action(self, number: int) -> Callable[[], None]:
-        """Make the call that lets an engine change."""
+        """Return a function that changes an engine's weights."""
 
         def opened() -> None:
             self.engine_slots[number].open = True
@@ -357,10 +357,10 @@
 
         return change
 
-    # -- the end ---------------------------------------------------------
+    # -- results ---------------------------------------------------------
 
     def summarize(self) -> Outcome:
-        """Sum up."""
+        """Return the results of the run."""
         requests = list(self.requests.values())
         outcomes = [request.outcome for request in requests]
         windows: dict[int, list[EmulatedRequest]] = {}
@@ -380,6 +380,6 @@
 
 
 def earned_fraction(requests: list[EmulatedRequest]) -> float:
-    """Return the share of the worth that requests earned."""
+    """Return the fraction of their worth that requests earned."""
     owed = sum(request.kind.worth for request in requests)
     return sum(request.earned_worth for request in requests) / owed if owed else 1.0
--- a/src/wisteriapulley/emulator/mixes.py
+++ b/src/wisteriapulley/emulator/mixes.py
@@ -1,4 +1,4 @@
-"""Requests of both users, as their sheets give them."""
+"""Request mixes of the two deployments, from their specifications."""
 
 import math
 import random
@@ -6,7 +6,7 @@
 
 from wisteriapulley.routing import Engine
 
-# Both users' engines: figures of a pass.
+# Engine parameters of both deployments.
 ENGINE = Engine("model", 16, 5, 9.27, 0.0232, 20.7, 16, 64, 32768)
 
 
@@ -16,17 +16,17 @@
     Attributes
     ----------
     name : str
-        The kind.
-    share : float
-        Relative rate.
+        Name of the kind.
+    relative_rate : float
+        Rate relative to the other kinds.
     prompt, events : float
         Mean prompt tokens, and mean events of an answer.
     prompt_spread, event_spread : float
         Standard deviations of their logarithms.
     objective_ms : float
-        For the first event.
+        Objective for the first event.
     worth, late_worth : float
-        What an answer is worth in time, and later.
+        Worth of an answer in time, and of a late one.
     """
 
     name: str
@@ -41,7 +41,7 @@
 
 
 class RequestMix(NamedTuple):
-    """Kinds of one user, and how many requests come in a second at the peak."""
+    """Request kinds of one deployment, and its requests per second at the peak."""
 
     kinds: tuple[RequestKind, ...]
     per_s: float
@@ -72,7 +72,7 @@
 def draw_log_normal(
     rng: random.Random, mean: float, spread: float, maximum: float
 ) -> float:
-    """Draw from a log-normal distribution of this mean, cut at `most`."""
+    """Draw from a log-normal distribution of this mean, limited to `maximum`."""
     return min(maximum, rng.lognormvariate(math.log(mean) - spread**2 / 2, spread))
 
 
--- a/src/wisteriapulley/policy/__init__.py
+++ b/src/wisteriapulley/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load: pure, without a clock or I/O of their own."""
+"""Scheduling and admission policies: pure, without a clock or I/O of their own."""
 
 from wisteriapulley.policy.admission import Admission
 from wisteriapulley.policy.placement import LeastOutstanding
--- a/src/wisteriapulley/policy/admission.py
+++ b/src/wisteriapulley/policy/admission.py
@@ -1,12 +1,12 @@
-"""Admission: the rate of each client account under a catalogue entry."""
+"""Rate limiting of each client account under a catalogue entry."""
 
 from collections import OrderedDict
 
 from wisteriapulley.catalogue.entry import Limits
 from wisteriapulley.errors import RequestError, ResultCode
 
-# About 200 bytes each. A full table forgets the account that was idle longest:
-# it then has a full burst again, which it would nearly have had anyway.
+# Each bucket takes about 200 bytes. A full table evicts the account that was idle
+# longest: its bucket would be nearly full again anyway.
 MAX_BUCKETS = 10_000
 
 
@@ -19,7 +19,7 @@
         self.refilled_s = now_s
 
     def take(self, now_s: float) -> float:
-        """Take a token; return 0, or the seconds until one is there."""
+        """Take a token and return 0, or return the seconds until one is available."""
         gained = max(0.0, now_s - self.refilled_s) * self.limits.requests_per_s
         self.tokens = min(float(self.limits.burst), self.tokens + gained)
         self.refilled_s = now_s
@@ -32,8 +32,8 @@
 class Admission:
     """Token bucket for each client account and entry.
 
-    Load: an account that sends faster than its operator agreed. Harm prevented:
-    it fills the queue that others share. The limit is the catalogue's.
+    An account that sends faster than agreed would fill the queue that it shares
+    with others. The limits are those of the catalogue.
     """
 
     def __init__(self, max_buckets: int = MAX_BUCKETS):
@@ -43,12 +43,12 @@
     def admit(
         self, account: str, entry_name: str, limits: Limits, now_s: float
     ) -> None:
-        """Let a request in or refuse it at once.
+        """Admit a request, or reject it at once.
 
         Raises
         ------
         RequestError
-            OVERLOADED, with when to come back.
+            OVERLOADED, with the time after which to retry.
         """
         key = (account, entry_name)
         bucket = self.buckets.get(key)
@@ -61,6 +61,6 @@
         if wait_s > 0:
             raise RequestError(
                 ResultCode.OVERLOADED,
-                f"client account {account!r} is over its rate under {entry_name!r}",
+                f"client account {account!r} exceeds its rate under {entry_name!r}",
                 int(wait_s * 1000) + 1,
             )
--- a/src/wisteriapulley/policy/advertised_rate.py
+++ b/src/wisteriapulley/policy/advertised_rate.py
@@ -1,30 +1,30 @@
-"""The rate that a target states in its answers, and what may pass by it. Pure."""
+"""Rate limits that targets advertise in their responses. Pure."""
 
 from typing import NamedTuple
 
 from wisteriapulley.policy.token_bucket import TokenBucket
 
-# A target that states that it takes nothing is asked so often all the same, in
-# requests a second: only its answers tell when that ends.
+# Requests per second to a target that advertises a rate of zero: only its responses
+# show when the limit ends, so it has to get a request now and then.
 MIN_RATE_PER_S = 0.1
-# Of a rate that passes at once after a rest, in seconds.
+# Burst after an idle period, in seconds of the advertised rate.
 BURST_S = 0.5
-# Requests that pass at once after a rest in any case. A late request passes only where
-# another one could, so that those in time have what there is.
+# Smallest burst, in requests. A late request passes only if the bucket holds this
+# many tokens, so that requests in time are served first.
 MIN_BURST = 2.0
-# A target of which nothing was heard for so long is forgotten.
+# A target is forgotten after this long without an update.
 RETENTION_S = 600.0
 
 
 class AdvertisedRate(NamedTuple):
-    """What one answer says of the requests that its target takes.
+    """Rate limit that one response of a target advertises.
 
     Attributes
     ----------
     per_s : float or None
-        Requests a second, from all entries together; None where it states none.
-    unreadable : str
-        What stands there that is no rate; it changes nothing.
+        Requests per second from all entries together; None if it advertises no rate.
+    invalid_text : str
+        Header value that is not a valid rate; it changes nothing.
     """
 
     per_s: float | None = None
@@ -32,14 +32,15 @@
 
 
 class RateTracker:
-    """The newest word of one target's rate.
+    """Latest advertised rate of one target.
 
     Attributes
     ----------
     per_s : float or None
-        Requests a second; None while it states none.
-    heard_s : float
-        When the newest answer came that said so, on the loop's clock.
+        Requests per second; None while the target advertises no rate.
+    observed_s : float
+        Arrival of the latest response that changed or confirmed it, on the loop's
+        clock.
     """
 
     def __init__(self):
@@ -48,17 +49,18 @@
         self.invalid_seen = False
 
     def observe(self, advertised: AdvertisedRate, sent_s: float, now_s: float) -> bool:
-        """Take an answer's word in; tell whether it says that there is a rate, or was.
+        """Record a response; return whether it sets a rate or ends one.
 
         Parameters
         ----------
-        stated : StatedRate
-            The answer's word.
+        advertised : AdvertisedRate
+            Rate in the response.
         sent_s : float
-            When its request was sent. An answer without a rate ends one only if its
-            request was sent after the rate was stated: answers overtake each other.
+            When the request was sent. A response without a rate ends the limit only if
+            its request was sent after the rate was observed, since responses may
+            arrive out of order.
         now_s : float
-            The clock.
+            Current time.
         """
         if advertised.per_s is None:
             if (
@@ -73,11 +75,11 @@
         return True
 
     def clear(self, now_s: float) -> None:
-        """Note that others heard that the target states no rate any more."""
+        """Record that other instances observed the end of the advertised rate."""
         self.per_s, self.observed_s = None, now_s
 
     def is_first_invalid(self, advertised: AdvertisedRate) -> bool:
-        """Tell whether a target states for the first time what is no rate."""
+        """Return whether this is the target's first invalid rate."""
         if not advertised.invalid_text or self.invalid_seen:
             return False
         self.invalid_seen = True
@@ -85,14 +87,14 @@
 
 
 class RateLimit(NamedTuple):
-    """A target's stated rate, and what may pass by it.
+    """Advertised rate of a target, and the token bucket that enforces it.
 
     Attributes
     ----------
     per_s : float or None
-        As stated; None once the target states none any more.
-    heard_s : float
-        When that was heard.
+        Requests per second; None once the target advertises no rate any more.
+    observed_s : float
+        When the rate was observed.
     bucket : TokenBucket
         Requests that may pass.
     """
@@ -103,16 +105,16 @@
 
 
 class RateLimits:
-    """Lets requests pass to targets that state a rate: one of these for each target.
+    """Enforces the advertised rates of targets, one limit for each target.
 
-    Load: a target in need takes a few requests a second, and each entry knows only
-    its own. Harm prevented: limits that entries keep by themselves add up, and a
-    split of the rate is exceeded while entries come, go or restart.
+    An overloaded target accepts a few requests per second, and each entry sees only
+    its own requests. Limits that entries enforce independently add up, and a rate
+    split between entries is exceeded while entries start, stop or restart.
 
     Parameters
     ----------
-    share : float
-        Of a stated rate that passes here.
+    fraction : float
+        Fraction of an advertised rate that passes here.
     """
 
     def __init__(self, fraction: float = 1.0):
@@ -120,19 +122,19 @@
         self.limits: dict[str, RateLimit] = {}
 
     def update(self, target: str, per_s: float | None, observed_s: float) -> None:
-        """Take in a target's word, unless newer words of it are known.
+        """Set a target's rate, unless a newer update is recorded.
 
-        Nothing passes at once by a limit that is new here: requests that were sent
-        before it was known are still on their way.
+        A new limit starts with an empty bucket: requests that were sent before the
+        limit was observed are still in flight.
 
         Parameters
         ----------
         target : str
-            The target, one start of it.
+            One incarnation of a target.
         per_s : float or None
-            Requests a second; None where it states no rate any more.
-        heard_s : float
-            When an entry heard that.
+            Requests per second; None if it advertises no rate any more.
+        observed_s : float
+            When an entry observed that.
         """
         known = self.limits.get(target)
         if known is not None and observed_s < known.observed_s:
@@ -149,16 +151,16 @@
         self.limits[target] = RateLimit(per_s, observed_s, bucket)
 
     def is_limited(self, target: str) -> bool:
-        """Tell whether a target states a rate, as far as known here."""
+        """Return whether a target is currently known to advertise a rate."""
         limit = self.limits.get(target)
         return limit is not None and limit.per_s is not None
 
     def wait_s(self, target: str, now_s: float, late: bool = False) -> float:
-        """Return how long until a request may pass; 0 for now.
+        """Return the seconds until a request may pass; 0 if it may pass now.
 
-        Load: a target takes a quarter of what comes, and callers that were refused
-        come back while new ones come. Harm prevented: half of what passes is late,
-        and worth little to its callers.
+        When a target accepts a quarter of the load, refused callers retry beside new
+        requests. Without precedence for new requests, half of those that pass are
+        late and worth little to their callers.
         """
         limit = self.limits.get(target)
         if limit is None or limit.per_s is None:
@@ -166,14 +168,14 @@
         return limit.bucket.wait_s(now_s, MIN_BURST if late else 1.0)
 
     def take(self, target: str, now_s: float) -> bool:
-        """Let a request pass, if one may."""
+        """Take a token for a request; return whether it may pass."""
         limit = self.limits.get(target)
         if limit is None or limit.per_s is None:
             return True
         return limit.bucket.take(now_s)
 
     def remove_expired(self, now_s: float) -> None:
-        """Forget targets of which nothing was heard for long."""
+        """Forget targets without an update for `RETENTION_S`."""
         for target, limit in tuple(self.limits.items()):
             if now_s - limit.observed_s > RETENTION_S:
                 del self.limits[target]
--- a/src/wisteriapulley/policy/batch_steps.py
+++ b/src/wisteriapulley/policy/batch_steps.py
@@ -1,23 +1,23 @@
-"""When an engine that works in passes makes the first event of a new request. Pure.
-
-Load pattern: an engine runs passes of some decode steps. A request that comes
-during a pass waits for its end; the next pass reads the prompts of all that came
-meanwhile before its steps make their first events. Harm prevented: an estimate by
-the mean reading rate leaves the decode steps between out, and admits requests
-whose first event then comes after their objective, which makes the ones behind
-them late as well.
+"""When a batching engine emits the first event of a new request. Pure.
+
+An engine works in batch steps, each of several decode steps. A request that arrives
+during a batch step waits for its end; the next one prefills the prompts of all
+requests that arrived meanwhile, before its decode steps emit their first events. An
+estimate from the mean prefill rate leaves out the decode steps in between, and admits
+requests whose first event then misses its objective, which delays the requests
+behind them as well.
 """
 
 
 class BatchStepClock:
-    """The pass in progress at one engine, as its queue of places reckons it.
+    """Estimated batch step in progress at one engine.
 
     Attributes
     ----------
-    ends_ms : float
-        When the pass in progress ends.
-    reading_ms : float
-        Time to read the prompts that came since it began.
+    step_end_ms : float
+        When the batch step in progress ends.
+    prefill_ms : float
+        Time to prefill the prompts that arrived since it began.
     """
 
     def __init__(self):
@@ -25,14 +25,14 @@
         self.prefill_ms = 0.0
 
     def advance(self, now_ms: float, step_ms: float, running: int) -> None:
-        """Let the passes run until now.
+        """Advance the batch steps to the current time.
 
         Parameters
         ----------
         now_ms : float
-            The clock.
-        pass_ms : float
-            Length of a pass without reading.
+            Current time.
+        step_ms : float
+            Length of a batch step without prefill.
         running : int
             Requests at the engine; without any it waits for the next one.
         """
@@ -43,16 +43,16 @@
             self.step_end_ms += step_ms + self.prefill_ms
             self.prefill_ms = 0.0
             if self.step_end_ms < now_ms - step_ms:
-                # Long without a look: only the rhythm counts, not each pass.
+                # After a long gap the steps in between don't matter.
                 self.step_end_ms = now_ms
 
     def add(self, prefill_ms: float) -> None:
-        """Take a request in, whose prompt takes so long to read."""
+        """Add a request, given the time to prefill its prompt."""
         self.prefill_ms += prefill_ms
 
     def first_event_ms(
         self, prompt_tokens: int, prefill_rate: float, step_ms: float, now_ms: float
     ) -> float:
-        """Return how long from now the first event of a new request takes."""
+        """Return the milliseconds until the first event of a new request."""
         remaining_ms = max(0.0, self.step_end_ms - now_ms)
         return remaining_ms + self.prefill_ms + prompt_tokens / prefill_rate + step_ms
--- a/src/wisteriapulley/policy/circuit_breaker.py
+++ b/src/wisteriapulley/policy/circuit_breaker.py
@@ -1,30 +1,30 @@
-"""Whether a target that turned requests away may get one now. Pure.
+"""Circuit breaker for targets that reject requests. Pure.
 
-Load pattern: a target turns away all that it gets, within milliseconds. Harm prevented:
-it looks empty, so it is asked first and takes both sends of each request, while others
-have room. It is left alone for a while instead, longer each time, and then gets one
-request, and more as it takes them: all that come back at once would be turned away
-again.
+A target that rejects all requests does so within milliseconds. It then looks idle, so
+it would be asked first and use up both sends of each request, while other targets have
+free capacity. The circuit opens instead, for longer each time. After that the target
+gets one probe, and more as it accepts them: requests that all return at once would be
+rejected again.
 """
 
 from enum import Enum
 
-# The first pause, and the longest one, in seconds. A target that is full for a moment
-# has room again soon; one that turns all away costs one send in each longest pause,
-# and stands idle for half of it on average once it has room again.
+# Shortest and longest time that the circuit stays open. A target that is full for a
+# moment has free capacity soon; one that rejects everything costs one send in each
+# longest period, and is idle for half of that period on average after it has recovered.
 MIN_OPEN_S = 0.05
 MAX_OPEN_S = 0.5
-# In a row, until the target is left alone: a single request may be turned away for
-# its own sake, such as its length.
+# Consecutive rejections that open the circuit: a single request may be rejected for
+# a property of its own, such as its length.
 REJECTIONS_TO_OPEN = 2
-# A request that was not turned away after so many seconds has been taken.
+# A request counts as accepted if it was not rejected within this time.
 ACCEPTED_AFTER_S = 0.1
-# Requests at once that a target has to take before it is whole again.
+# The circuit closes when the limit of concurrent probes exceeds this.
 MAX_PROBES = 8
 
 
 class SendOutcome(Enum):
-    """What a target did with a request; `UNKNOWN` also where none was sent."""
+    """What a target did with a request; `UNKNOWN` also if none was sent."""
 
     UNKNOWN = "unknown"
     ACCEPTED = "taken"
@@ -32,16 +32,16 @@
 
 
 class CircuitBreaker:
-    """What one start of a target did with the requests that it got.
+    """Circuit breaker of one incarnation of a target.
 
     Attributes
     ----------
-    until_s : float
-        Until when it gets nothing.
-    pause_s : float
-        The last pause; 0 since the target took a request.
-    allowed : int
-        Requests at once that it may get on trial; 0 where it gets all.
+    open_until_s : float
+        Until when the target gets no requests.
+    open_s : float
+        Length of the last open period; 0 once the target accepts a request.
+    probe_limit : int
+        Concurrent requests allowed while half-open; 0 if the circuit is closed.
     """
 
     def __init__(self):
@@ -53,15 +53,15 @@
         self.probes: list[float] = []
 
     def wait_s(self, now_s: float, is_last: bool = False) -> float:
-        """Return how long until a request may be sent; 0 for now.
+        """Return the seconds until a request may be sent; 0 if it may be sent now.
 
         Parameters
         ----------
         now_s : float
-            The clock.
+            Current time.
         is_last : bool
-            Whether the request can't be sent again if it is turned away. Such a one is
-            sent on trial only after others had time for it.
+            Whether the request can't be sent again after a rejection. Such a request
+            is sent as a probe only after other requests had time to probe.
         """
         if not self.probe_limit:
             return 0.0
@@ -74,7 +74,7 @@
         return self.probes[0] + ACCEPTED_AFTER_S - now_s
 
     def accept_due_probes(self, now_s: float) -> None:
-        """Count trials as taken that were not turned away in time."""
+        """Count probes as accepted that were not rejected in time."""
         while (
             self.probe_limit
             and self.probes
@@ -84,7 +84,7 @@
             self.raise_probe_limit()
 
     def raise_probe_limit(self) -> None:
-        """Let more requests pass at once; all of them, once it took enough."""
+        """Double the concurrent probes; close the circuit above `MAX_PROBES`."""
         self.open_s = 0.0
         self.probe_limit *= 2
         if self.probe_limit > MAX_PROBES:
@@ -92,7 +92,7 @@
             self.probes.clear()
 
     def record_sent(self, now_s: float) -> None:
-        """Note that a request goes there."""
+        """Record that a request is sent."""
         if self.probe_limit:
             self.probes.append(now_s)
 
@@ -103,7 +103,7 @@
         now_s: float,
         cooldown_requested: bool = False,
     ) -> None:
-        """Note what the target did with a request; see `turned_away`."""
+        """Record what the target did with a request; see `record_rejected`."""
         if outcome is SendOutcome.ACCEPTED:
             self.record_accepted(sent_s)
         elif outcome is SendOutcome.REJECTED:
@@ -112,7 +112,7 @@
             self.probes.remove(sent_s)
 
     def record_accepted(self, sent_s: float) -> None:
-        """Note that the target took a request that was sent after its last refusal."""
+        """Record an accepted request that was sent after the last rejection."""
         if sent_s <= self.rejected_s:
             return
         self.consecutive_rejections = 0
@@ -123,17 +123,17 @@
     def record_rejected(
         self, sent_s: float, now_s: float, cooldown_requested: bool = False
     ) -> None:
-        """Note that the target turned a request away.
+        """Record a rejected request.
 
         Parameters
         ----------
         sent_s : float
-            When the request was sent. Those that were on their way when the target was
-            left alone tell nothing new.
+            When the request was sent. Requests that were in flight when the circuit
+            opened carry no new information.
         now_s : float
-            The clock.
-        rests : bool
-            Whether the target asks for rest, so that one word is enough.
+            Current time.
+        cooldown_requested : bool
+            Whether the target requested a cool-down; one rejection is enough then.
         """
         if sent_s < self.rejected_s and self.probe_limit:
             return
--- a/src/wisteriapulley/policy/crash_suspects.py
+++ b/src/wisteriapulley/policy/crash_suspects.py
@@ -1,14 +1,14 @@
-"""Which requests ended the targets that ran them, as the whole fleet knows it. Pure.
+"""Requests that are suspected of crashing targets, tracked across the fleet. Pure.
 
-Load: one request crashes each target that begins to run it, and its caller sends it
-again and again, at any entry. Harm prevented: a target fewer with each send, and all
-that runs there broken off each time. A retry budget does not help: each attempt of a
-caller is a new request to it.
+One request may crash each target that begins to run it, while its caller sends it
+again and again, through any entry. Each send then costs a target and interrupts all
+other requests there. A retry budget does not help: each attempt of a caller counts as
+a new request.
 
-When a target ends, each request that was in progress there is a suspect; most of them
-are innocent, and are cleared by the first whole answer that any entry passes on. One
-that goes on ending targets is quarantined: no entry sends it any more. Records of all
-entries merge to the same whatever their order, and however often they come.
+When a target ends, each request that was in progress there becomes a suspect. Most of
+them are innocent, and are cleared by the first complete answer that any entry
+delivers. A request that goes on ending targets is quarantined: no entry sends it any
+more. Records of all entries merge to the same result whatever their order and number.
 """
 
 import heapq
@@ -17,30 +17,30 @@
 
 from wisteriapulley.wire.messages import Suspect
 
-# Targets that a request may end before it is quarantined. With fewer, neighbours that
-# shared them all by chance would be taken for it too often.
+# Targets that a request may end before it is quarantined. With fewer, requests that
+# shared those targets by chance would be quarantined too often.
 MIN_ENDED_ALONE = 3
-# One under which no target ended that did not end under another request as well may
-# be its neighbour: it goes free until it has ended so many.
+# A request may only have run beside the culprit if each target that ended under it also
+# ended under one other request. It is quarantined only after this many targets.
 MAX_ENDED = 4
-# A suspect that ends nothing more is forgotten after so long, and so is a quarantine:
-# what the request met may have been mended since.
+# A suspect that ends no more targets is forgotten after this time, and so is a
+# quarantine: the fault that the request triggered may have been fixed since.
 RETENTION_S = 86_400.0
-# Suspects held at once: each takes half a kilobyte.
+# Maximum number of records; each takes half a kilobyte.
 MAX_SUSPECTS = 1024
-# Suspects that a new link is told of: a frame stays below 60 kB.
+# Maximum number of suspects sent on a new link: keeps the frame below 60 kB.
 MAX_INITIAL_SUSPECTS = 256
 
 
 class SuspectRecord(NamedTuple):
-    """What is known of one request.
+    """Crash record of one request.
 
     Attributes
     ----------
     cleared : int
-        How often it was answered whole after targets had ended under it.
+        How often a complete answer cleared the request after targets had ended.
     ended : tuple of str
-        Starts of targets that ended under it since then, sorted.
+        Incarnations of targets that ended under it since then, sorted.
     at_s : float
         When the last of them ended, on a clock that counts suspensions.
     """
@@ -51,14 +51,14 @@
 
 
 class CrashSuspects:
-    """Records by digest of the request.
+    """Crash records by request digest.
 
     Parameters
     ----------
-    most : int
-        Records held at once.
-    kept_s : float
-        How long a record is held after its last change, in seconds.
+    max_records : int
+        Maximum number of records.
+    retention_s : float
+        How long a record is kept after its last change, in seconds.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self.records: dict[bytes, SuspectRecord] = {}
 
     def is_quarantined(self, digest: bytes) -> bool:
-        """Tell whether a request may not be sent any more."""
+        """Return whether a request may not be sent any more."""
         record = self.records.get(digest)
         if record is None or len(record.ended) < MIN_ENDED_ALONE:
             return False
@@ -78,7 +78,7 @@
         )
 
     def is_explained_by_another(self, digest: bytes) -> bool:
-        """Tell whether another request alone could have ended all the targets."""
+        """Return whether one other request could have ended all these targets."""
         ended = set(self.records[digest].ended)
         return any(
             ended.issubset(other.ended)
@@ -87,27 +87,27 @@
         )
 
     def quarantined(self) -> list[bytes]:
-        """Return the requests that may not be sent any more."""
+        """Return the digests of the requests that may not be sent any more."""
         return [digest for digest in self.records if self.is_quarantined(digest)]
 
     def record_crash(
         self, digest: bytes, incarnation: str, now_s: float
     ) -> SuspectRecord:
-        """Note that a target ended while it had a request.
+        """Record that a target ended while a request was in progress there.
 
         Parameters
         ----------
         digest : bytes
-            Names the request.
-        start : str
-            Names the target's start: one that is back is another.
+            Digest of the request.
+        incarnation : str
+            Identity of the target's process start; it changes when the target restarts.
         now_s : float
-            The clock.
+            Current time.
 
         Returns
         -------
-        Record
-            What is known of the request now, even where there is no room to hold it.
+        SuspectRecord
+            The request's record, even if there is no room to keep it.
         """
         known = self.records.get(digest)
         record = SuspectRecord(
@@ -117,7 +117,7 @@
         return self.records.get(digest, record)
 
     def record_answer(self, digest: bytes, now_s: float) -> bool:
-        """Clear a request that was answered whole; tell whether that is news."""
+        """Clear a completely answered request; return whether its record changed."""
         known = self.records.get(digest)
         if known is None or not known.ended:
             return False
@@ -125,11 +125,11 @@
         return True
 
     def merge(self, digest: bytes, record: SuspectRecord) -> bool:
-        """Take a record in; tell whether it says anything that was not known."""
+        """Merge a record; return whether it changed anything."""
         known = self.records.get(digest)
         if known is None:
             if not record.ended:
-                # Cleared before this was told that there was anything to clear.
+                # Cleared elsewhere before any of its ended targets were known here.
                 return False
             new = record
         elif record.cleared != known.cleared:
@@ -145,25 +145,25 @@
         return True
 
     def retention_rank(self, digest: bytes) -> tuple[int, float]:
-        """Order records by what is lost with them."""
+        """Return the sort key for eviction: the least important record is lowest."""
         record = self.records[digest]
         return len(record.ended), record.at_s
 
     def remove_expired(self, now_s: float) -> None:
-        """Forget records that did not change for long."""
+        """Drop records that did not change for `retention_s`."""
         for digest, record in tuple(self.records.items()):
             if now_s - record.at_s > self.retention_s:
                 del self.records[digest]
 
-    # -- as others are told ----------------------------------------------
+    # -- exchange with other instances ------------------------------------
 
     def top_suspects(self) -> list[bytes]:
-        """Return the suspects that a new link is told of."""
+        """Return the suspects to send on a new link, most ended targets first."""
         suspects = (digest for digest, r in self.records.items() if r.ended)
         return heapq.nlargest(MAX_INITIAL_SUSPECTS, suspects, key=self.retention_rank)
 
     def merge_updates(self, suspects: Iterable[Suspect], now_s: float) -> list[bytes]:
-        """Take in what others tell; return the digests of which that is news."""
+        """Merge suspects of another instance; return the digests that changed."""
         return [
             suspect.digest
             for suspect in suspects
@@ -171,7 +171,7 @@
         ]
 
     def updates(self, now_s: float, digests: Iterable[bytes]) -> Iterator[Suspect]:
-        """Yield what is known of some requests, with its age."""
+        """Yield the records of some requests as messages, with their age."""
         for digest in digests:
             record = self.records.get(digest)
             if record is not None:
@@ -180,12 +180,12 @@
 
 
 def decode_record(suspect: Suspect, now_s: float) -> SuspectRecord:
-    """Read a record from the wire."""
+    """Return the record of a suspect message."""
     return SuspectRecord(
         suspect.cleared, truncate_incarnations(suspect.ended), now_s - suspect.age_s
     )
 
 
 def truncate_incarnations(incarnations: Iterable[str]) -> tuple[str, ...]:
-    """Return as many starts as decide anything, the same ones everywhere."""
+    """Return the incarnations that count, the same ones on all instances."""
     return tuple(sorted(set(incarnations))[:MAX_ENDED])
--- a/src/wisteriapulley/policy/drain.py
+++ b/src/wisteriapulley/policy/drain.py
@@ -1,18 +1,19 @@
-"""How fast a queue drains, as measured while it is not empty."""
+"""Drain rate of a queue, sampled while the queue is not empty."""
 
-# Long enough for some ends of short work, short enough to see a target go.
+# Long enough for several short requests to end, short enough to notice the loss of a
+# target.
 WINDOW_S = 0.5
 GAIN = 0.4
-# A stopped queue still has a finite wait, so that Retry-After stays sane.
+# Keeps the wait finite for a stopped queue, so that Retry-After stays reasonable.
 MIN_RATE = 0.05
 
 
 class DrainRate:
-    """Seconds of expected work that start in a second.
+    """Seconds of expected work that start per second.
 
-    Load: targets shared with hundreds of other entries. Harm prevented: an
-    entry that counts every place of its targets as its own would queue what
-    can't be in time, and refuse it late.
+    Targets are shared with hundreds of other entries. An entry that counts every
+    slot of its targets as its own would queue requests that can't be in time, and
+    refuse them late.
     """
 
     def __init__(self):
@@ -21,12 +22,12 @@
         self.started_work_s = 0.0
 
     def record_start(self, cost_s: float, now_s: float) -> None:
-        """Count queued work that starts."""
+        """Record the start of queued work."""
         self.update(now_s)
         self.started_work_s += cost_s
 
     def update(self, now_s: float) -> None:
-        """Take a sample when a window has passed with work queued."""
+        """Update the rate after each full window with queued work."""
         if self.window_start_s is None:
             self.window_start_s = now_s
         elapsed_s = now_s - self.window_start_s
@@ -39,11 +40,14 @@
         self.started_work_s = 0.0
 
     def reset_window(self) -> None:
-        """Forget the window: an empty queue says nothing of what could start."""
+        """Discard the window: an empty queue says nothing about the drain rate."""
         self.window_start_s = None
         self.started_work_s = 0.0
 
     def wait_s(self, ahead_s: float, slots: int) -> float:
-        """Return how long so much work takes to start, at most at `places`."""
+        """Return the seconds until `ahead_s` of queued work has started.
+
+        The rate is at most `slots`, even if a higher one was sampled.
+        """
         rate = min(slots, self.rate if self.rate is not None else slots)
         return ahead_s / max(MIN_RATE, rate)
--- a/src/wisteriapulley/policy/engine_slots.py
+++ b/src/wisteriapulley/policy/engine_slots.py
@@ -1,14 +1,14 @@
-"""Who gets a place at one target, and who waits for one.
+"""Slots of one engine: which request is admitted, queued or denied. Pure.
 
-Load pattern: many entries send to one engine, which batches `slots` requests and
-reads new prompts between the tokens of those that run. No entry sees what the
-others send. Harm prevented: without one queue in front of the engine, the entries
-together overfill one target while another has places empty, and a burst of long
-prompts makes the first event of every request late.
+Many entries send to one engine, which batches `slots` requests and prefills new prompts
+between the decode steps of the running ones. No entry sees the requests of others.
+Without one queue in front of the engine, the entries together overload one target
+while another has free slots, and a burst of long prompts delays the first event of
+every request.
 
-The engine's sidecar keeps this queue; its entries ask for a place before they
-send. A place is granted only if the first event can still be in time, so that
-what can't be is refused at once and does not delay what can.
+The engine's sidecar keeps this queue; entries request a slot before they send. A slot
+is granted only if the first event can still be in time, so that a request that can't
+be is refused at once and does not delay the others.
 """
 
 import heapq
@@ -21,40 +21,40 @@
 from wisteriapulley.policy.circuit_breaker import CircuitBreaker, SendOutcome
 from wisteriapulley.routing import Engine
 
-# Requests granted beyond the slots: an ended request's place is known here only
-# after its entry said so, some milliseconds later, and the engine takes new
-# requests at the end of a pass. One more keeps that slot from standing empty.
+# Slots granted beyond the engine's own: the end of a request is known here only after
+# its entry reported it, some milliseconds later, and the engine takes new requests at
+# the end of a batch step. One extra grant keeps that slot from being idle.
 EXTRA_SLOTS = 1
-# Until ends were seen: a mean request holds its place for so long.
+# Initial estimate of how long a request holds its slot.
 INITIAL_HOLD_MS = 1500.0
-# Until ends were seen: an engine with all slots taken makes an event of each
-# request in a pass of so long, reading included.
+# Initial estimate of the time between two events of a request, with all slots in use
+# and prefill included.
 INITIAL_EVENT_INTERVAL_MS = 80.0
-# A request may end so long after the engine is to change: the change waits for it.
+# A planned change of weights waits up to this long for running requests.
 MAX_OVERRUN_MS = 800.0
-# Places that requests may fill which come late: below this the engine has room
-# for the new ones that come meanwhile.
+# Late requests get a slot only while less than this fraction is in use: the rest is
+# for new requests that arrive meanwhile.
 LATE_SLOT_FRACTION = 0.7
-# Prompts of late requests that a pass may read, in milliseconds. A new request's
-# first event waits for what its pass reads: of an objective of 400 ms this takes a
-# quarter, and one mean prompt of 50 ms always fits.
+# Maximum prefill time of late requests in one batch step. The first event of a new
+# request waits for all prefill of its batch step: this takes a quarter of an objective
+# of 400 ms, and always fits one mean prompt of 50 ms.
 LATE_PREFILL_MS = 100.0
-# A request is granted on weights whose time ends only if its first event is expected
-# so long before. Left for the way there, and for what the estimate of the first
-# event misses; a request that still is late is dropped by its entry in time.
+# When the weights' time ends, a request is granted only if its first event is expected
+# this long before. Covers the network and the error of the estimate; a request that
+# still is late is dropped by its entry in time.
 BEGIN_MARGIN_MS = 250.0
 SMOOTHING = 0.1
-# A place whose entry neither uses nor releases it is taken back: longer than any
-# route's timeout.
+# A slot whose entry neither uses nor releases it is revoked after this time, which is
+# longer than any route's timeout.
 MAX_HOLD_MS = 15_000.0
-# Never tell a caller to come back sooner.
+# Callers are never told to retry sooner.
 MIN_RETRY_MS = 50.0
 
 
 class AdmissionState(Enum):
-    """Whether places are granted now, soon, or not at all.
+    """Whether slots are granted now, soon, or not at all.
 
-    `LIMITED` is open, but for the rate that the engine states.
+    `LIMITED` is open, but subject to the rate that the engine advertises.
     """
 
     OPEN = "open"
@@ -64,26 +64,26 @@
 
 
 class SlotRequest(NamedTuple):
-    """One request's wish for a place.
+    """Request of an entry for a slot.
 
     Attributes
     ----------
     request_id : str
-        Names the request.
+        Id of the request.
     owner : str
-        The entry that asks.
+        The entry that sends it.
     prompt_tokens, answer_tokens : int
-        Tokens to be read before the first event, and expected to be written.
+        Tokens to prefill before the first event, and expected in the answer.
     priority : int
-        0 goes first.
+        Lower goes first.
     wait_ms : float
-        Time until the first event must come.
+        Time until the first event must be there.
     late : bool
         Whether the request's objective has passed already.
     target : str
-        The engine's start that the request is for.
+        Incarnation of the engine that the request is for.
     is_last : bool
-        Whether it can't be sent again if the engine turns it away.
+        Whether it can't be sent again if the engine rejects it.
     """
 
     request_id: str
@@ -98,7 +98,7 @@
 
 
 class GrantedSlot(NamedTuple):
-    """A granted place."""
+    """A slot granted to a request, and the events expected in its answer."""
 
     owner: str
     granted_ms: float
@@ -106,7 +106,7 @@
 
 
 class QueuedRequest(NamedTuple):
-    """A request in the queue, ordered by priority, then by arrival."""
+    """A queued request, ordered by priority, then by arrival."""
 
     priority: int
     sequence: int
@@ -115,10 +115,10 @@
 
 
 class AdmissionDecision(NamedTuple):
-    """What becomes of a request now; neither granted nor denied means it waits.
+    """Decision on a request; neither granted nor denied means that it is queued.
 
-    `limited` says that the engine itself holds requests back: it states a rate, or
-    turned some away.
+    `limited` says that the engine itself holds requests back: it advertises a rate,
+    or rejected some.
     """
 
     request_id: str
@@ -129,15 +129,15 @@
 
 
 class EngineSlots:
-    """Places of one engine.
+    """Slots of one engine, and the queue for them.
 
     Parameters
     ----------
     engine : Engine
-        Its figures.
-    extra_places : int
-        Places granted beyond its slots.
-    overrun_ms : float
+        Parameters of the engine.
+    extra_slots : int
+        Slots granted beyond the engine's own.
+    max_overrun_ms : float
         How long after a planned change a request may still run.
     """
 
@@ -157,22 +157,22 @@
         self.step_clock = BatchStepClock()
         self.mean_hold_ms = INITIAL_HOLD_MS
         self.mean_event_interval_ms = INITIAL_EVENT_INTERVAL_MS
-        # When the engine is to take nothing more for a while, if that is planned.
+        # Start of a planned change, from which on the engine takes no requests.
         self.closes_at_ms: float | None = None
-        # When closed places are expected to open: the engine loads, and nothing
-        # runs that the load has to wait for.
+        # When admission is expected to open: the engine is loading, and no running
+        # request delays the load.
         self.opens_at_ms: float | None = None
-        # When nothing may begin any more on the weights that the engine holds.
+        # When requests may no longer begin on the engine's current weights.
         self.weights_end_ms: float | None = None
-        # What the engine says that it takes, and which start of it was asked for last.
+        # Advertised rates, and the incarnation that the last slot request was for.
         self.rate_limits = RateLimits()
         self.target = ""
-        # What it did with the requests that were granted.
+        # Tracks what the engine did with granted requests.
         self.breaker = CircuitBreaker()
 
     @property
     def state(self) -> AdmissionState:
-        """Whether places are granted."""
+        """Whether slots are granted."""
         if self.open:
             return AdmissionState.OPEN
         opening = self.opens_at_ms is not None
@@ -180,17 +180,17 @@
 
     @property
     def max_grants(self) -> int:
-        """Places granted at once at the most."""
+        """Maximum number of slots granted at once."""
         return self.engine.slots + self.extra_slots
 
     def batch_step_ms(self) -> float:
-        """Return how long a pass without reading takes now."""
+        """Return the current length of a batch step without prefill."""
         engine = self.engine
         step_ms = engine.step_ms + engine.step_ms_per_request * len(self.grants)
         return step_ms * engine.stride
 
     def first_event_ms(self, prompt_tokens: int, now_ms: float) -> float:
-        """Estimate when the first event comes of a request that is sent now."""
+        """Estimate the time to the first event of a request that is sent now."""
         self.step_clock.advance(now_ms, self.batch_step_ms(), len(self.grants))
         rate = self.engine.prefill_tokens_per_ms
         return self.step_clock.first_event_ms(
@@ -198,7 +198,7 @@
         )
 
     def slot_wait_ms(self, ahead: int) -> float:
-        """Estimate when a place opens for a request with so many before it."""
+        """Estimate the wait for a slot with `ahead` requests before it."""
         free = self.max_grants - len(self.grants)
         if ahead < free:
             return 0.0
@@ -207,7 +207,7 @@
     # -- inputs ----------------------------------------------------------
 
     def request_slot(self, request: SlotRequest, now_ms: float) -> AdmissionDecision:
-        """Grant a place, let the request wait, or deny it at once."""
+        """Grant a slot, queue the request, or deny it at once."""
         if self.state is AdmissionState.CLOSED:
             return AdmissionDecision(request.request_id, denied=True)
         self.set_target(request.target)
@@ -245,11 +245,11 @@
     ) -> AdmissionDecision:
         """Decide on a request whose objective has passed already.
 
-        Load: the callers whose streams a loss of all has cut come back at the same
-        moment, some eighty within 0.2 s at twelve engines. Harm prevented: their
-        prompts together take longer to read than one request may wait, so they
-        were refused for good while places stood empty. They wait for their turn to
-        be read instead, a few in each pass, so that new requests still are in time.
+        After an outage of all instances, callers whose streams were cut retry at the
+        same moment: about eighty within 0.2 s at twelve engines. Their prompts together
+        take longer to prefill than one request may wait, so without this rule they
+        would be refused for good while slots are free. Instead they are queued for
+        prefill, a few in each batch step, so that new requests still are in time.
         """
         open_in_ms = 0.0 if self.open else max(0.0, self.opens_at_ms - now_ms)
         event_ms = open_in_ms + self.first_event_ms(request.prompt_tokens, now_ms)
@@ -269,13 +269,13 @@
         return self.enqueue(request, now_ms + request.wait_ms - event_ms)
 
     def set_target(self, target: str) -> None:
-        """Know which start of the engine requests are for; each is judged anew."""
+        """Set the engine's incarnation; each one gets its own circuit breaker."""
         if target != self.target:
             self.target = target
             self.breaker = CircuitBreaker()
 
     def throttle_wait_ms(self, request: SlotRequest, now_ms: float) -> float:
-        """Return how long until what the engine says and does lets a request begin."""
+        """Return the delay that the advertised rate and the circuit breaker impose."""
         rate_s = self.rate_limits.wait_s(request.target, now_ms / 1000, request.late)
         breaker_s = self.breaker.wait_s(now_ms / 1000, request.is_last)
         return max(rate_s, breaker_s) * 1000
@@ -286,12 +286,12 @@
         return max(rate_s, self.breaker.wait_s(now_s))
 
     def can_prefill_late(self, now_ms: float) -> bool:
-        """Tell whether the next pass may read one more late prompt."""
+        """Return whether the next batch step may prefill one more late prompt."""
         self.step_clock.advance(now_ms, self.batch_step_ms(), len(self.grants))
         return self.has_spare_slots() and self.step_clock.prefill_ms < LATE_PREFILL_MS
 
     def enqueue(self, request: SlotRequest, expires_ms: float) -> AdmissionDecision:
-        """Put a request into the queue, until it can't begin in time any more."""
+        """Queue a request until it can't begin in time any more."""
         if self.weights_end_ms is not None:
             rate = self.engine.prefill_tokens_per_ms
             min_ms = (
@@ -306,44 +306,44 @@
         return AdmissionDecision(request.request_id)
 
     def queued_prefill_ms(self) -> float:
-        """Return how long the prompts in the queue take to read.
+        """Return the time to prefill all queued prompts.
 
-        Load: engines that come back after a loss of all, and callers that ask
-        before they have loaded. Harm prevented: those callers were refused, and
-        then the engines stood empty; but all that wait are read at once when the
-        places open, so only so many may wait as can be in time.
+        When engines restart after an outage of all instances, callers ask before the
+        weights are loaded. If these were refused, the engines would then be idle; but
+        all queued prompts are prefilled at once when admission opens, so only as many
+        are queued as can be in time.
         """
-        tokens = sum(waiting.request.prompt_tokens for waiting in self.queue)
+        tokens = sum(queued.request.prompt_tokens for queued in self.queue)
         return tokens / self.engine.prefill_tokens_per_ms
 
     def has_spare_slots(self, ahead: int = 0) -> bool:
-        """Tell whether a request may have a place though it comes late.
+        """Return whether enough slots are free for a late request.
 
-        Load: callers that were refused come back while more new ones come than
-        there are places. Harm prevented: a late answer earns a quarter of one in
-        time and takes the same place, so it gets what others leave.
+        Refused callers retry while there are more new requests than slots. A late
+        answer is worth a quarter of one in time and takes the same slot, so late
+        requests get only the slots that new ones leave.
 
         Parameters
         ----------
         ahead : int
-            Late requests that wait for the same.
+            Late requests that wait for the same slots.
         """
         if self.queue and not self.queue[0].request.late:
             return False
         return len(self.grants) + ahead < self.max_grants * LATE_SLOT_FRACTION
 
     def is_late_by_own_length(self) -> bool:
-        """Tell whether only a request's own length makes it late here.
+        """Return whether only its own length makes a request late here.
 
-        The longest prompts take most of an objective to read. They are not refused
-        for that while places are free and nobody else's prompt waits to be read.
+        The longest prompts take most of an objective to prefill. They are not refused
+        for that while slots are free and no other prompt waits for prefill.
         """
         return self.has_spare_slots() and not self.step_clock.prefill_ms
 
     def begins_too_late(
         self, request: SlotRequest, event_ms: float, now_ms: float
     ) -> bool:
-        """Tell whether the weights' time ends, or they change, too soon for it."""
+        """Return whether the weights' time ends, or they change, too soon for it."""
         if self.weights_end_ms is not None:
             if now_ms + event_ms + BEGIN_MARGIN_MS > self.weights_end_ms:
                 return True
@@ -352,12 +352,12 @@
     def overruns_change(
         self, request: SlotRequest, event_ms: float, now_ms: float
     ) -> bool:
-        """Tell whether a request would still run when the engine is to change.
+        """Return whether a request would still run when the weights are to change.
 
-        Load: an engine that is to load new weights takes nothing new until its
-        longest request has ended. Harm prevented: for that time its other places
-        stand empty. Before a planned change only requests that end by then are
-        admitted, so that the engine is busy until then and soon after it again.
+        An engine that is to load new weights takes no requests until its longest one
+        has ended, and its other slots are idle meanwhile. So before a planned change
+        only requests that end in time are admitted, which keeps the engine busy until
+        shortly before the change and soon after it.
         """
         if self.closes_at_ms is None:
             return False
@@ -365,11 +365,11 @@
         return now_ms + event_ms + run_ms > self.closes_at_ms + self.max_overrun_ms
 
     def expected_events(self, request: SlotRequest) -> float:
-        """Return how many events a request's answer is expected to have."""
+        """Return how many events are expected in a request's answer."""
         return request.answer_tokens / max(1, self.engine.stride)
 
     def grant(self, request: SlotRequest, now_ms: float) -> AdmissionDecision:
-        """Give a place."""
+        """Grant a slot."""
         self.rate_limits.take(request.target, now_ms / 1000)
         self.breaker.record_sent(now_ms / 1000)
         self.step_clock.advance(now_ms, self.batch_step_ms(), len(self.grants))
@@ -386,9 +386,9 @@
         now_ms: float,
         cooldown_requested: bool = False,
     ) -> None:
-        """Take a place back, and learn what the engine did with its request.
+        """Release a slot, and record what the engine did with its request.
 
-        `rests` says that the engine asked the sender for rest.
+        `cooldown_requested` says that the engine requested a cool-down.
         """
         grant = self.grants.get(request_id)
         if grant is not None:
@@ -397,12 +397,12 @@
                 outcome, sent_s, now_ms / 1000, cooldown_requested
             )
             if outcome is SendOutcome.REJECTED:
-                # How long it was held says nothing of the time that requests take.
+                # The hold time of a rejected request is no sample of service times.
                 del self.grants[request_id]
         self.release(request_id, now_ms)
 
     def release(self, request_id: str, now_ms: float) -> None:
-        """Take a place back, or the request out of the queue."""
+        """Release a request's slot, or remove it from the queue."""
         grant = self.grants.pop(request_id, None)
         if grant is not None:
             held_ms = now_ms - grant.granted_ms
@@ -417,27 +417,27 @@
         heapq.heapify(self.queue)
 
     def release_owner(self, owner: str) -> None:
-        """Take back all that an entry held or waited for: it is gone."""
+        """Drop all slots and queued requests of an entry that is gone."""
         self.grants = {k: h for k, h in self.grants.items() if h.owner != owner}
         self.queue = [w for w in self.queue if w.request.owner != owner]
         heapq.heapify(self.queue)
 
     def revoke_all(self) -> None:
-        """Take back all places at once: the engine runs none of it any more."""
+        """Revoke all slots at once: the engine does not run their requests any more."""
         self.grants.clear()
         self.breaker = CircuitBreaker()
         self.step_clock = BatchStepClock()
 
     def close(self) -> None:
-        """Grant nothing more; what waits is denied by the next `advance`."""
+        """Stop granting; the next `advance` denies queued requests."""
         self.open = False
         self.opens_at_ms = None
 
     def advance(self, now_ms: float) -> Iterator[AdmissionDecision]:
-        """Yield verdicts on requests that waited.
+        """Yield decisions on queued requests.
 
-        Those that can't be in time any more are denied as soon as that is so,
-        not when their time has passed.
+        Requests that can't be in time any more are denied as soon as that is known, not
+        when their time has passed.
         """
         self.expire_grants(now_ms)
         while self.queue:
@@ -454,20 +454,20 @@
                 break
         yield from self.deny_expired(now_ms)
 
-    def cannot_be_served(self, waiting: QueuedRequest, now_ms: float) -> bool:
-        """Tell whether a request waits in vain.
+    def cannot_be_served(self, queued: QueuedRequest, now_ms: float) -> bool:
+        """Return whether a queued request has no chance of a slot.
 
-        Its time has passed, or it is late and new ones take all that there is. One
-        that the engine itself holds back may have a place elsewhere at once.
+        Its time has passed, or it is late and new requests take all free slots. A
+        request that the engine itself holds back may get a slot elsewhere at once.
         """
-        if now_ms > waiting.expires_ms:
+        if now_ms > queued.expires_ms:
             return True
-        if self.throttle_wait_ms(waiting.request, now_ms) > 0:
+        if self.throttle_wait_ms(queued.request, now_ms) > 0:
             return True
-        return waiting.request.late and self.open and not self.has_spare_slots()
+        return queued.request.late and self.open and not self.has_spare_slots()
 
     def can_grant(self, request: SlotRequest, now_ms: float) -> bool:
-        """Tell whether the first request of the queue may have a place now."""
+        """Return whether the first queued request may get a slot now."""
         if not self.open:
             return False
         if request.late:
@@ -475,28 +475,28 @@
         return len(self.grants) < self.max_grants
 
     def deny_expired(self, now_ms: float) -> Iterator[AdmissionDecision]:
-        """Deny what is behind others in the queue and past its time."""
-        late = [w for w in self.queue if self.cannot_be_served(w, now_ms)]
-        if not late:
+        """Deny requests further back in the queue that have no chance of a slot."""
+        expired = [w for w in self.queue if self.cannot_be_served(w, now_ms)]
+        if not expired:
             return
-        self.queue = [w for w in self.queue if w not in late]
+        self.queue = [w for w in self.queue if w not in expired]
         heapq.heapify(self.queue)
-        for waiting in late:
-            yield self.deny_queued(waiting, now_ms)
+        for queued in expired:
+            yield self.deny_queued(queued, now_ms)
 
-    def deny_queued(self, waiting: QueuedRequest, now_ms: float) -> AdmissionDecision:
-        """Deny a request that waited; tell when another may have a place."""
+    def deny_queued(self, queued: QueuedRequest, now_ms: float) -> AdmissionDecision:
+        """Deny a queued request, with the time after which a slot may be free."""
         slot_ms = self.slot_wait_ms(len(self.queue))
-        throttled_ms = self.throttle_wait_ms(waiting.request, now_ms)
+        throttled_ms = self.throttle_wait_ms(queued.request, now_ms)
         return AdmissionDecision(
-            waiting.request.request_id,
+            queued.request.request_id,
             denied=True,
             retry_ms=max(MIN_RETRY_MS, slot_ms, throttled_ms),
             limited=throttled_ms > 0,
         )
 
     def expire_grants(self, now_ms: float) -> None:
-        """Take places back that were forgotten."""
+        """Revoke slots that were never released."""
         limit_ms = now_ms - MAX_HOLD_MS
         if any(h.granted_ms < limit_ms for h in self.grants.values()):
             self.grants = {
--- a/src/wisteriapulley/policy/fingerprint.py
+++ b/src/wisteriapulley/policy/fingerprint.py
@@ -1,30 +1,30 @@
-"""What names a request whichever attempt, connection and entry it comes by. Pure."""
+"""Request fingerprints, independent of attempt, connection and entry. Pure."""
 
 import hashlib
 
 DIGEST_BYTES = 16
-# Tells these digests from others under the same key.
+# Separates these digests from others under the same key.
 PERSONALIZATION = b"wp-request"
-# Longer keys are not taken by the digest.
+# Limit of the hash function.
 MAX_KEY_BYTES = hashlib.blake2b.MAX_KEY_SIZE
 LENGTH_BYTES = 8
 
 
 def fingerprint(key: bytes, host: str, path: str, account: str, body: bytes) -> bytes:
-    """Return the keyed digest of what makes two requests the same one.
+    """Return the keyed digest that identifies a request.
 
-    Without the key nobody can tell from a log or a frame what a caller sent.
+    Without the key, a digest in a log or a frame does not reveal what a caller sent.
 
     Parameters
     ----------
     key : bytes
-        The fleet key, so that all entries make the same digest.
+        The fleet key, so that all entries compute the same digest.
     host, path : str
         What selects the route, without the query.
     account : str
         The caller's client account; empty without one.
     body : bytes
-        The whole body.
+        The complete body.
 
     Returns
     -------
--- a/src/wisteriapulley/policy/outliers.py
+++ b/src/wisteriapulley/policy/outliers.py
@@ -1,20 +1,20 @@
-"""Takes a target out that is slow by comparison with its peers."""
+"""Outlier ejection: takes targets out of service that are slower than their peers."""
 
 from collections.abc import Iterable
 from statistics import median
 from typing import NamedTuple
 
-# A target is slow when it takes this many times what its peers take for alike
-# work; below that placement by outstanding work copes by itself.
+# A target is slow when comparable work takes this many times as long as at its peers;
+# smaller differences are handled by placement by outstanding work.
 SLOW_FACTOR = 3.0
-# Probed back only when it is clearly well, so that it does not flap.
+# A probed target returns only if it is clearly healthy, so that it does not flap.
 RECOVERED_FACTOR = 1.5
-# One request says little; three agree.
+# A single slow request is no evidence; three are.
 MIN_SAMPLES = 3
-# With fewer there is no telling which of them is the odd one.
+# With fewer targets it is unclear which of them is the outlier.
 MIN_TARGETS = 3
-# At most this share is out at once: when many are slow, the load is the cause,
-# and taking targets out would make it worse.
+# Maximum fraction of targets ejected at once: when many are slow, the load is the
+# cause, and ejecting targets would make it worse.
 MAX_EJECTED_FRACTION = 0.34
 MIN_PROBE_BACKOFF_S = 5.0
 MAX_PROBE_BACKOFF_S = 60.0
@@ -22,17 +22,17 @@
 
 
 class Ejection(NamedTuple):
-    """A target that is out, and when it is next probed."""
+    """Time of an ejected target's next probe, and its backoff."""
 
     probe_s: float
     backoff_s: float
 
 
 class OutlierDetector:
-    """Ratio of taken to expected time for each target.
+    """Ratio of actual to expected time for each target.
 
-    Harm prevented: one target ten times slower takes a share of the requests
-    as long as it has a free place, and their callers wait ten times as long.
+    A target ten times slower would get requests whenever it has a free slot, and
+    their callers would wait ten times as long.
     """
 
     def __init__(self):
@@ -43,19 +43,19 @@
     def record(
         self, node_id: str, ratio: float, now_s: float, probe: bool = False
     ) -> None:
-        """Take in how long a request took over what was expected.
+        """Record a request's time relative to the expected time.
 
         Parameters
         ----------
         node_id : str
-            Where it ran, or still runs.
+            Target that ran the request, or still runs it.
         ratio : float
-            Seconds taken over seconds expected.
+            Actual seconds divided by expected seconds.
         now_s : float
             Time of the sample.
         probe : bool
-            Whether the request was sent to probe a target that was out; the
-            others that it held when it was taken out say nothing new.
+            Whether the request was a probe of an ejected target; other requests that
+            the target held when it was ejected carry no new information.
         """
         if node_id in self.ejected:
             if probe:
@@ -79,7 +79,7 @@
         return median(peers) if peers else 0.0
 
     def is_slow(self, node_id: str) -> bool:
-        """Tell whether a target is to be taken out."""
+        """Return whether to eject a target."""
         count = len(self.ratios)
         if count < MIN_TARGETS or self.samples[node_id] < MIN_SAMPLES:
             return False
@@ -89,7 +89,7 @@
         return peers > 0 and self.ratios[node_id] > SLOW_FACTOR * peers
 
     def evaluate_probe(self, node_id: str, ratio: float, now_s: float) -> None:
-        """Take a target back in after a good probe, or wait for longer."""
+        """Restore a target after a good probe, or double its backoff."""
         if ratio <= RECOVERED_FACTOR * max(1.0, self.median_peer_ratio(node_id)):
             del self.ejected[node_id]
             self.ratios[node_id] = ratio
@@ -98,7 +98,7 @@
         self.ejected[node_id] = Ejection(now_s + backoff_s, backoff_s)
 
     def next_probe(self, now_s: float) -> str | None:
-        """Return a target that is to be probed, and book the probe."""
+        """Return a target that is due for a probe, and schedule its next one."""
         for node_id, ejection in self.ejected.items():
             if ejection.probe_s <= now_s:
                 probe_s = now_s + ejection.backoff_s
@@ -107,7 +107,7 @@
         return None
 
     def retain(self, names: Iterable[str]) -> None:
-        """Forget targets that are gone."""
+        """Drop all targets but the given ones."""
         for node_id in set(self.ratios) - set(names):
             self.ratios.pop(node_id)
             self.samples.pop(node_id)
--- a/src/wisteriapulley/policy/placement.py
+++ b/src/wisteriapulley/policy/placement.py
@@ -1,6 +1,6 @@
 """Placement: which target gets a request.
 
-`docs/design/load-decisions.md` has the measurement against other rules.
+`docs/design/load-decisions.md` compares this rule with others.
 """
 
 import random
@@ -10,17 +10,17 @@
 
 
 class LeastOutstanding:
-    """Least outstanding requests; ties fall at random.
+    """Least outstanding requests, ties broken at random.
 
-    Load: steady and bursty. Harm prevented: a queue at one target while
-    another is idle. Ties at random keep 330 entries from choosing alike.
+    Under steady and bursty load this avoids a queue at one target while another is
+    idle. Random ties keep 330 entries from all choosing the same target.
     """
 
     def __init__(self, rng: random.Random):
         self.rng = rng
 
     def pick(self, targets: Sequence[TargetView], work: Work) -> str:
-        """Choose one of the targets that have room."""
+        """Return one of the targets with free capacity."""
         least = min(target.outstanding for target in targets)
         best = [t.node_id for t in targets if t.outstanding == least]
         return self.rng.choice(best)
--- a/src/wisteriapulley/policy/response_signals.py
+++ b/src/wisteriapulley/policy/response_signals.py
@@ -1,4 +1,4 @@
-"""What one answer of a target says of the target itself. Pure."""
+"""Signals about a target in one of its responses. Pure."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class TargetLoad(NamedTuple):
-    """Load that a target tells with an answer."""
+    """Load that a target reports in a response."""
 
     running: int
     waiting: int
@@ -14,14 +14,14 @@
 
 
 class RequestedCooldown(NamedTuple):
-    """For how long a target wants nothing from those that it answers.
+    """Cool-down that a target requests from the sender of a request.
 
     Attributes
     ----------
     seconds : float
-        From the answer on; 0 where it asks for no rest.
-    unreadable : str
-        What stands there that is no time; it changes nothing.
+        Duration from the response on; 0 if none is requested.
+    invalid_text : str
+        Header value that is not a valid time; it changes nothing.
     """
 
     seconds: float = 0.0
@@ -29,18 +29,18 @@
 
 
 class ResponseSignals(NamedTuple):
-    """All that one answer says of its target.
+    """All signals in one response of a target.
 
     Attributes
     ----------
     load : TargetLoad or None
         Its load.
-    rate : StatedRate
-        Requests that it takes from all entries together.
-    rest : StatedRest
-        Time for which it wants nothing from this instance.
+    rate : AdvertisedRate
+        Requests that it accepts from all entries together.
+    cooldown : RequestedCooldown
+        Time for which it accepts no requests from this instance.
     leaving : bool
-        Whether it is about to end.
+        Whether it is about to shut down.
     """
 
     load: TargetLoad | None = None
@@ -50,7 +50,7 @@
 
 
 class CooldownTracker:
-    """The rest that one start of a target has asked this instance for.
+    """Cool-down that one incarnation of a target requested from this instance.
 
     Attributes
     ----------
@@ -63,10 +63,10 @@
         self.invalid_seen = False
 
     def observe(self, requested: RequestedCooldown, now_s: float) -> bool:
-        """Take an answer's word in; tell whether a rest begins.
+        """Record a response; return whether a cool-down begins.
 
-        Neither a shorter word nor an answer without one ends a rest: answers
-        overtake each other.
+        Neither a shorter cool-down nor a response without one ends it early, since
+        responses may arrive out of order.
         """
         if not requested.seconds:
             return False
@@ -75,11 +75,11 @@
         return begins
 
     def wait_s(self, now_s: float) -> float:
-        """Return how long it still lasts; 0 for not at all."""
+        """Return the remaining seconds; 0 if there is no cool-down."""
         return max(0.0, self.until_s - now_s)
 
     def is_first_invalid(self, requested: RequestedCooldown) -> bool:
-        """Tell whether a target states for the first time what is no time."""
+        """Return whether this is the target's first invalid time."""
         if not requested.invalid_text or self.invalid_seen:
             return False
         self.invalid_seen = True
--- a/src/wisteriapulley/policy/retry.py
+++ b/src/wisteriapulley/policy/retry.py
@@ -1,14 +1,14 @@
-"""Retries: how many of the admitted requests may be sent again."""
+"""Retry budget: the fraction of admitted requests that may be sent again."""
 
-# A tenth: under full failure load grows by 10 % and not by the attempts.
+# If all requests fail, the load grows by 10 %, not by the number of attempts.
 RETRY_RATIO = 0.1
-# So that a quiet entry may still retry at all.
+# Lets an entry with little traffic retry at all.
 INITIAL_RETRIES = 10.0
 MAX_RETRIES = 100.0
 
 
 class RetryBudget:
-    """Each admitted request earns a share of a retry; each retry spends one."""
+    """Each admitted request adds a fraction of a retry; each retry takes one."""
 
     def __init__(self):
         self.balance = INITIAL_RETRIES
@@ -18,7 +18,7 @@
         self.balance = min(MAX_RETRIES, self.balance + RETRY_RATIO)
 
     def spend(self) -> bool:
-        """Take one retry if the budget has it."""
+        """Take one retry if the budget has one."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
--- a/src/wisteriapulley/policy/retry_after.py
+++ b/src/wisteriapulley/policy/retry_after.py
@@ -1,41 +1,41 @@
-"""When a refused caller is told to come back. Pure.
+"""When a refused caller is told to retry. Pure.
 
-Load pattern: more requests than places for some seconds, or a fleet that has just
-started and has none yet. A caller that is refused then can't be in time any more,
-whenever it comes back; while the overload lasts it would only take the place of
-one that can. Harm prevented: all who were refused come back within a quarter of a
-second, find the same, and are refused for good. So they are spread over the later
-part of what they can wait.
+Callers are refused when there are more requests than slots for some seconds, or when
+a fleet has just started and has no slots yet. Such a caller can't be in time any more,
+whenever it retries; while the overload lasts, its retry only takes the slot of a
+request that can. Without a spread, all refused callers retry within a quarter of a
+second, find the same overload, and are refused for good. So retries are spread over
+the later part of the time that callers can wait.
 """
 
 from collections.abc import Callable
 
-# Callers come back after at most a third of the time they have left; a tenth of
-# it is kept for the way.
+# A caller retries after at most this fraction of its remaining time: a third, less
+# a tenth of it for the network.
 MAX_WAIT_FRACTION = 0.3
-# The earliest return, as a share of the latest.
+# Earliest retry, as a fraction of the latest.
 EARLIEST_FRACTION = 0.5
-# No spread caller is back before this share of what it had left has passed.
+# No spread retry comes before this fraction of the caller's remaining time has passed.
 MIN_WAIT_FRACTION = MAX_WAIT_FRACTION * EARLIEST_FRACTION
 
 
 def retry_after_s(
     spread: bool, hint_s: float, remaining_s: float, random: Callable[[], float]
 ) -> float:
-    """Return when a caller is to come back.
+    """Return the seconds after which a caller is told to retry.
 
     Parameters
     ----------
     spread : bool
-        Whether it was refused for want of places, by an entry that just started or
-        under load; otherwise something was missing that may be back soon, and
+        Whether it was refused for lack of slots, by an entry that just started or
+        under load; otherwise something that may be back soon is missing, and
         `hint_s` says when.
     hint_s : float
-        When there may be a place.
-    left_s : float
+        When a slot may be free.
+    remaining_s : float
         How long the caller still waits.
     random : callable
-        Numbers below 1, spread evenly.
+        Returns uniform random numbers below 1.
     """
     max_s = max(0.0, remaining_s) * MAX_WAIT_FRACTION
     if not spread:
--- a/src/wisteriapulley/policy/scheduler.py
+++ b/src/wisteriapulley/policy/scheduler.py
@@ -1,7 +1,7 @@
-"""Scheduler of one service: refuse, queue or start each request; pure.
+"""Scheduler of one service: refuses, queues or starts each request. Pure.
 
-It has no clock and does no I/O: the entry calls it with the time and with what
-it knows of the targets, and does what it decides.
+It has no clock and does no I/O: the entry passes the time and its view of the targets,
+and carries out the decisions.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -14,20 +14,20 @@
 from wisteriapulley.policy.service_times import ServiceTimes
 from wisteriapulley.policy.work import TargetView, Work
 
-# Memory of one service's queue, whatever its deadlines allow.
+# Bounds the memory of one service's queue, whatever deadlines allow.
 MAX_QUEUED = 10_000
-# Below this a caller would come back into the same burst.
+# A caller that retries sooner would meet the same burst.
 MIN_RETRY_MS = 100
 NO_TARGET_RETRY_MS = 1000
-# A full queue stands at its bound: without room for later arrivals that go first
-# half of what was let in there would be refused late instead of at once.
+# A full queue stays at its bound, and later arrivals may go first: without headroom,
+# half of the admitted requests would be refused late instead of at once.
 WAIT_HEADROOM = 1.3
-# A probe goes to a target that was at least three times slower.
+# A probe goes to a target that was at least three times slower than its peers.
 PROBE_SLACK = 10.0
 
 
 class StartDecision(NamedTuple):
-    """Decision about queued work: where it starts, or that it is too late."""
+    """Decision about queued work: its target, or None if it is too late."""
 
     work: Work
     node_id: str | None
@@ -44,7 +44,7 @@
 
 
 class Scheduler:
-    """Decides over one service's requests at one entry.
+    """Schedules one service's requests at one entry.
 
     Parameters
     ----------
@@ -68,20 +68,20 @@
     ) -> str | None:
         """Start work, queue it, or refuse it at once.
 
-        Load: full saturation. Harm prevented: a queue in which requests wait
-        past their deadline, so that targets work for callers who have gone and
-        none is served in time. The limit is each request's own deadline.
+        Under saturation, a queue in which requests wait past their deadline makes
+        targets work for callers that have gone, and no request is served in time.
+        So each request's own deadline limits the queue.
 
         Returns
         -------
         str or None
-            The target it starts at; None when it waits.
+            The target it starts at; None if it is queued.
 
         Raises
         ------
         RequestError
-            NO_TARGET, or OVERLOADED with when the queue will have drained far
-            enough.
+            NO_TARGET, or OVERLOADED with the time after which the queue will have
+            drained far enough.
         """
         if not targets:
             raise RequestError(
@@ -96,7 +96,7 @@
         return None
 
     def check_deadline(self, work: Work, slots: int, now_s: float) -> None:
-        """Refuse work that would not be answered within its deadline."""
+        """Refuse work that would miss its deadline."""
         expected_s = self.times.estimate(work).mean
         wait_s = self.drain.wait_s(self.queue.ahead_s(work, expected_s), slots)
         answered_s = now_s + WAIT_HEADROOM * wait_s + self.times.upper_bound(work)
@@ -105,24 +105,23 @@
             return
         raise RequestError(
             ResultCode.OVERLOADED,
-            f"{len(self.queue)} requests wait; it would wait {wait_s:.2f} s",
+            f"{len(self.queue)} requests queued; expected wait {wait_s:.2f} s",
             max(MIN_RETRY_MS, int(min(max(late_s, 0.0), wait_s) * 1000)),
         )
 
     def available_targets(
         self, targets: Sequence[TargetView], limit: int
     ) -> list[TargetView]:
-        """Return the targets that may take one more, without those taken out.
+        """Return the targets that may take another request, without ejected ones.
 
-        When every target is taken out, all of them may: something is better
-        than nothing.
+        If all targets are ejected, all of them may: a slow target is better than none.
         """
         ejected = self.outliers.ejected
         in_service = [t for t in targets if t.node_id not in ejected] or targets
         return [target for target in in_service if target.outstanding < limit]
 
     def start(self, work: Work, room: list[TargetView], now_s: float) -> str:
-        """Start work at one of the targets with room, or as a probe."""
+        """Start work at one of the available targets, or as a probe."""
         probed = (
             self.outliers.next_probe(now_s) if self.can_probe(work, now_s) else None
         )
@@ -133,13 +132,13 @@
         return node_id
 
     def can_probe(self, work: Work, now_s: float) -> bool:
-        """Tell whether work can bear a slow target and still be in time."""
+        """Return whether work would meet its deadline even at a slow target."""
         return now_s + PROBE_SLACK * self.times.upper_bound(work) < work.deadline_s
 
     def start_queued(
         self, view: Callable[[], Sequence[TargetView]], limit: int, now_s: float
     ) -> Iterator[StartDecision]:
-        """Yield what becomes of queued work while there is room.
+        """Yield decisions about queued work while targets are available.
 
         Parameters
         ----------
@@ -148,7 +147,7 @@
         limit : int
             Requests that one target runs at once.
         now_s : float
-            Time.
+            Current time.
         """
         while self.queue:
             room = self.available_targets(view(), limit)
@@ -165,16 +164,16 @@
     # -- outcomes --------------------------------------------------------
 
     def finish(self, work_id: int, ok: bool, now_s: float) -> None:
-        """Take in that work has left its target.
+        """Record that work has left its target.
 
         Parameters
         ----------
         work_id : int
-            Which.
+            Id of the work.
         ok : bool
-            Whether it was answered whole; one that failed fast teaches nothing.
+            Whether its answer was complete; the time of a failed request is ignored.
         now_s : float
-            Time.
+            Current time.
         """
         run = self.running.pop(work_id, None)
         self.overdue_ratios.pop(work_id, None)
@@ -188,9 +187,9 @@
             self.times.record(run.work, seconds)
 
     def record_overdue(self, now_s: float) -> None:
-        """Count work that is overdue against its target before it ends.
+        """Record overdue work against its target before it ends.
 
-        A target ten times slower would otherwise be found only when its first
+        Otherwise a target ten times slower would be detected only when its first
         requests have taken ten times as long.
         """
         if self.queue:
@@ -206,5 +205,5 @@
                 self.outliers.record(run.node_id, ratio, now_s, run.probe)
 
     def remove(self, work: Work) -> bool:
-        """Take out queued work whose caller gave up."""
+        """Remove queued work whose caller gave up."""
         return self.queue.remove(work)
--- a/src/wisteriapulley/policy/service_times.py
+++ b/src/wisteriapulley/policy/service_times.py
@@ -1,16 +1,16 @@
-"""How long requests take, learned by kind and size class."""
+"""Estimates of service times by kind and size class."""
 
 from typing import NamedTuple
 
 from wisteriapulley.policy.work import Work, size_class
 
-# Each sample moves the estimate by a tenth: it follows a change within some
-# twenty requests and is not thrown by one.
+# Each sample moves the estimate by a tenth: it follows a change within about twenty
+# requests, and a single outlier has little effect.
 SMOOTHING = 0.1
-# The deadline test adds this many mean deviations: an estimate that is too low
-# lets in work that then fails its caller after all and wasted a target's time.
+# Mean deviations added in the deadline test: an estimate that is too low admits work
+# that misses its deadline after all, and wastes a target's time.
 DEVIATIONS = 2.0
-# Kinds come from the catalogue and classes are powers of two.
+# Bounds the table; kinds come from the catalogue and classes are powers of two.
 MAX_CLASSES = 4096
 
 
@@ -22,13 +22,13 @@
 
 
 class ServiceTimes:
-    """Moving estimates of seconds at a target."""
+    """Moving estimates of the seconds that requests take at a target."""
 
     def __init__(self):
         self.estimates: dict[tuple[str, int], Estimate] = {}
 
     def record(self, work: Work, seconds: float) -> None:
-        """Take in how long a request took at a healthy target."""
+        """Record how long a request took at a healthy target."""
         key = (work.kind, size_class(work.units))
         known = self.estimates.get(key)
         if known is None:
@@ -42,9 +42,9 @@
         )
 
     def estimate(self, work: Work) -> Estimate:
-        """Return what to expect; 0 while nothing of the kind is known.
+        """Return the estimate for a request; 0 without samples of its kind.
 
-        A class not seen yet is scaled from the nearest one that was.
+        A class without samples is scaled from the nearest class that has some.
         """
         number = size_class(work.units)
         known = self.estimates.get((work.kind, number))
@@ -59,6 +59,6 @@
         return Estimate(0.0, 0.0)
 
     def upper_bound(self, work: Work) -> float:
-        """Return the seconds that the deadline test counts with."""
+        """Return the seconds that the deadline test uses."""
         expected = self.estimate(work)
         return expected.mean + DEVIATIONS * expected.deviation
--- a/src/wisteriapulley/policy/subset.py
+++ b/src/wisteriapulley/policy/subset.py
@@ -1,9 +1,9 @@
 """Which members of a service one process keeps links to. Pure.
 
-Load: hundreds of entries and hundreds of targets. Harm prevented: a link between
-each two of them costs a heartbeat each way several times a second, whether requests
-use it or not: at 38 entries and 102 targets, 3,876 links. A bounded subset costs
-each process the same however large the fleet is.
+With hundreds of entries and hundreds of targets, a full mesh costs a heartbeat each way
+on every link several times a second, whether requests use it or not: 3,876 links at 38
+entries and 102 targets. A bounded subset costs each process the same however large the
+fleet is.
 """
 
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 class Member(NamedTuple):
-    """A member of a service and where it is."""
+    """A member of a service and its failure domain."""
 
     name: str
     failure_domain: str
@@ -26,10 +26,10 @@
     Attributes
     ----------
     total : int
-        Members in all. A service of no more members is linked whole.
-    near : int
-        Of them at most so many of the own region: what is left goes to other
-        regions, for the time when the own one is full or away.
+        Maximum number of members. A smaller service is linked completely.
+    same_region : int
+        Maximum number of members in the own region. The others are in other regions,
+        for when the own region is full or unreachable.
     """
 
     total: int
@@ -47,13 +47,13 @@
     Parameters
     ----------
     members : iterable of Member
-        All of one service.
+        All members of one service.
     own : Member
-        Who chooses, and where it is.
+        The process that chooses, and its failure domain.
     regions : Regions
         Region of each failure domain.
     limits : SubsetLimits
-        How many.
+        Sizes of the subset.
 
     Returns
     -------
--- a/src/wisteriapulley/policy/target_ranking.py
+++ b/src/wisteriapulley/policy/target_ranking.py
@@ -1,9 +1,9 @@
-"""Which target a request is offered to first.
+"""Order in which targets are asked for a request.
 
-Load pattern: targets of one service in several failure domains, each with its own
-load. Harm prevented: requests that cross a region's border while their own region
-has room cost bytes on a narrow link, which slows every other crossing; requests
-that stay in a full region wait while another one has places empty.
+Targets of one service are in several failure domains, each with its own load. Requests
+that cross a region's border while their own region has free slots cost bytes on a
+narrow link, which slows every other crossing; requests that stay in a full region wait
+while another region has free slots.
 """
 
 from collections.abc import Callable, Iterable
@@ -11,8 +11,8 @@
 
 from wisteriapulley.regions import Regions
 
-# Load, as a share of a target's slots, that crossing a border is worth: a request
-# leaves its region when the other one is emptier by this much.
+# Cost of crossing a border, as a fraction of a target's slots: a request leaves its
+# region when the other one has less load by this much.
 CROSS_REGION_COST = 0.35
 CROSS_DOMAIN_COST = 0.1
 # A target that has just started is slow for a while.
@@ -20,19 +20,19 @@
 
 
 class Load(NamedTuple):
-    """What is known of a target's load: requests there, and its slots."""
+    """Outstanding requests at a target, and its slots."""
 
     outstanding: float
     slots: int
 
 
 class RankedTarget(Protocol):
-    """What the order needs to know of a target itself.
+    """Properties of a target that the order depends on.
 
     Attributes
     ----------
     failure_domain : str
-        Where it is.
+        The target's failure domain.
     cold_until_s : float
         Until when it is slow after its start, on the loop's clock.
     """
@@ -45,13 +45,13 @@
 
 
 class EntryLocation(NamedTuple):
-    """Where an entry is, and which failure domains make up each region."""
+    """Failure domain of an entry, and the failure domains of each region."""
 
     failure_domain: str
     regions: Regions
 
     def distance_cost(self, failure_domain: str) -> float:
-        """Return what it costs to send to a failure domain, as a load."""
+        """Return the cost of sending to a failure domain, in units of load."""
         if failure_domain == self.failure_domain:
             return 0.0
         if self.regions.same(failure_domain, self.failure_domain):
@@ -66,20 +66,20 @@
     tiebreak: Callable[[], float],
     now_s: float,
 ) -> list[AnyTarget]:
-    """Order targets, the one to ask first before the others.
+    """Return targets in the order in which to ask them.
 
     Parameters
     ----------
     targets : iterable
-        Those that take requests.
+        Targets that accept requests.
     load_of : callable
         Load of a target.
-    around : Surroundings
-        Where the entry is.
+    location : EntryLocation
+        Location of the entry.
     tiebreak : callable
-        Random numbers below 1, so that entries do not all choose alike.
+        Random numbers below 1, so that not all entries choose the same target.
     now_s : float
-        The loop's clock.
+        Current time of the loop.
     """
 
     def cost(target: AnyTarget) -> float:
--- a/src/wisteriapulley/policy/token_bucket.py
+++ b/src/wisteriapulley/policy/token_bucket.py
@@ -1,20 +1,20 @@
-"""A rate with a bounded burst. Pure."""
+"""Token bucket: a rate with a bounded burst. Pure."""
 
-# Of a token: whoever comes when one is due finds it there.
+# In tokens: a caller that comes exactly when a token is due gets it.
 TOLERANCE = 1e-9
 
 
 class TokenBucket:
-    """Tokens that come at a steady rate and are kept up to a limit.
+    """Tokens that arrive at a steady rate, up to a limit.
 
     Parameters
     ----------
     rate : float
-        Tokens a second.
+        Tokens per second.
     burst : float
-        Tokens kept at the most.
-    left : float, optional
-        Tokens at first; as many as are kept without it.
+        Maximum number of tokens kept.
+    available : float, optional
+        Initial number of tokens; `burst` by default.
     """
 
     def __init__(self, rate: float, burst: float, available: float | None = None):
@@ -24,20 +24,20 @@
         self.refilled_s: float | None = None
 
     def refill(self, now_s: float) -> None:
-        """Add what has come since this was first asked."""
+        """Add the tokens that arrived since the last call."""
         refilled_s = now_s if self.refilled_s is None else self.refilled_s
         gained = self.rate * max(0.0, now_s - refilled_s)
         self.available = min(self.burst, self.available + gained)
         self.refilled_s = max(refilled_s, now_s)
 
     def set_rate(self, rate: float, burst: float, now_s: float) -> None:
-        """Go on with another rate and limit, with the tokens that are left."""
+        """Change rate and limit, keeping the available tokens."""
         self.refill(now_s)
         self.rate, self.burst = rate, burst
         self.available = min(self.available, burst)
 
     def wait_s(self, now_s: float, tokens: float = 1.0) -> float:
-        """Return how long until there are so many tokens; infinite without a rate."""
+        """Return the seconds until `tokens` are available; infinite without a rate."""
         self.refill(now_s)
         missing = tokens - self.available
         if missing <= TOLERANCE:
@@ -45,7 +45,7 @@
         return missing / self.rate if self.rate else float("inf")
 
     def take(self, now_s: float) -> bool:
-        """Take a token, if there is one."""
+        """Take a token if one is available."""
         if self.wait_s(now_s) > 0:
             return False
         self.available -= 1.0
--- a/src/wisteriapulley/policy/work.py
+++ b/src/wisteriapulley/policy/work.py
@@ -1,11 +1,11 @@
-"""What the policy knows of a request and of a target."""
+"""Views of requests and targets that the policies use."""
 
 import math
 from typing import NamedTuple
 
 
 class Work(NamedTuple):
-    """One request, as the policy sees it.
+    """One request, as the policies see it.
 
     Attributes
     ----------
@@ -18,9 +18,9 @@
     priority : int
         Lower runs first.
     units : float
-        What it asks for, in the kind's own unit: tokens, or 1.
+        Size of the request, in the kind's own unit: tokens, or 1.
     deadline_s : float
-        Time by which its answer must be there.
+        Time by which its answer must be complete.
     prefix : tuple of int
         Hashes of the prompt's leading blocks, longest last.
     """
@@ -35,18 +35,18 @@
 
 
 class TargetView(NamedTuple):
-    """What an entry knows of a target when it places a request.
+    """An entry's view of a target when it places a request.
 
     Attributes
     ----------
     node_id : str
         The target's sidecar.
     in_flight : int
-        Requests of this entry that it holds.
+        Requests of this entry at the target.
     reported : int
-        Requests that it last reported, of all entries; lags.
+        Requests of all entries in the target's last report; lags.
     in_flight_at_report : int
-        Requests of this entry that it held when that report came.
+        Requests of this entry at the target when that report arrived.
     """
 
     node_id: str
@@ -56,11 +56,11 @@
 
     @property
     def outstanding(self) -> int:
-        """Requests that it holds, as far as can be known.
+        """Best estimate of the requests at the target.
 
-        The report lags by a heartbeat, in which a burst of our own would all
-        go to the target that looked idle: our own part is replaced by what we
-        know ourselves, and only that of other entries is taken from it.
+        The report lags by a heartbeat, during which a burst of this entry would all go
+        to the target that looked idle. So the entry's own part of the report is
+        replaced by its current count; only the part of other entries is taken from it.
         """
         return self.in_flight + max(0, self.reported - self.in_flight_at_report)
 
--- a/src/wisteriapulley/routing/__init__.py
+++ b/src/wisteriapulley/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routes, services and client accounts: what an operator puts in force as a whole."""
+"""Routing tables: routes, services and client accounts, which apply as one version."""
 
 from wisteriapulley.routing.checks import check_table
 from wisteriapulley.routing.lookup import RouteIndex
--- a/src/wisteriapulley/routing/checks.py
+++ b/src/wisteriapulley/routing/checks.py
@@ -1,4 +1,4 @@
-"""Checks that a routing table must pass before it is proposed."""
+"""Validation of a routing table before it is proposed."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -8,12 +8,12 @@
 
 
 def check_table(table: RoutingTable) -> None:
-    """Refuse a table that could not be put in force whole.
+    """Reject a table that could not be applied completely.
 
     Raises
     ------
     CatalogueError
-        CATALOGUE_ENTRY_INVALID, with the first fault found.
+        CATALOGUE_ENTRY_INVALID, with the first error found.
     """
     error = next(table_errors(table), None)
     if error is not None:
@@ -21,14 +21,14 @@
 
 
 def table_errors(table: RoutingTable) -> Iterator[str]:
-    """Yield what is wrong with a table."""
+    """Yield the errors of a table."""
     yield from route_errors(table)
     yield from prefix_errors(table)
     yield from key_errors(table)
 
 
 def route_errors(table: RoutingTable) -> Iterator[str]:
-    """Yield faults that one route shows by itself or against the services."""
+    """Yield errors in single routes, and references to unknown services."""
     services = {service.name for service in table.services}
     for route in table.routes:
         for split in route.splits:
@@ -40,13 +40,13 @@
             if split.weight < 0:
                 yield f"route {route.name!r}: expected weights of 0 or more"
         if sum(split.weight for split in route.splits) <= 0:
-            yield f"route {route.name!r}: expected weights above 0 in sum"
+            yield f"route {route.name!r}: expected a sum of weights above 0"
         if route.timeout_ms <= 0:
             yield f"route {route.name!r}: expected a timeout above 0 ms"
 
 
 def prefix_errors(table: RoutingTable) -> Iterator[str]:
-    """Yield hosts and prefixes that two routes claim."""
+    """Yield hosts and prefixes that several routes use."""
     prefixes = Counter((route.host, route.prefix) for route in table.routes)
     for (host, prefix), count in prefixes.items():
         if count > 1:
@@ -54,7 +54,7 @@
 
 
 def key_errors(table: RoutingTable) -> Iterator[str]:
-    """Yield accounts that share a key; the key itself is not shown."""
+    """Yield accounts that share a key, without the key itself."""
     owners: dict[str, str] = {}
     for account in table.accounts:
         for key in account.keys:
--- a/src/wisteriapulley/routing/lookup.py
+++ b/src/wisteriapulley/routing/lookup.py
@@ -1,10 +1,10 @@
-"""Finds the route and the client account of a request."""
+"""Lookup of a request's route and client account."""
 
 from wisteriapulley.routing.table import Account, Route, RoutingTable
 
 
 class RouteIndex:
-    """Lookup of one routing table.
+    """Index of one routing table.
 
     A lookup costs one dictionary access for each slash of the path, however
     many routes the table has.
@@ -21,7 +21,7 @@
         self.services = {service.name: service for service in table.services}
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins `path`."""
+        """Return the route with the longest prefix of `path`."""
         prefixes = self.routes_by_host.get(host)
         if not prefixes:
             return None
@@ -33,5 +33,5 @@
         return None
 
     def find_account(self, key: str) -> Account | None:
-        """Return who holds a key."""
+        """Return the client account that owns a key."""
         return self.accounts.get(key)
--- a/src/wisteriapulley/routing/table.py
+++ b/src/wisteriapulley/routing/table.py
@@ -5,7 +5,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated of a route's requests."""
+    """Which of a route's requests may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -13,7 +13,7 @@
 
 
 class Split(NamedTuple):
-    """Share of a route's requests that one service gets, as a relative weight."""
+    """Relative weight of one service in a route's traffic."""
 
     service: str
     weight: int
@@ -27,25 +27,25 @@
     name : str
         The operator's name of the route.
     host, prefix : str
-        What a request must carry; the longest prefix of a host wins.
+        Host and path prefix of its requests; the longest prefix of a host wins.
     kind : RouteKind
         What may be repeated.
     splits : tuple of Split
         Services that may run the requests.
     timeout_ms : float
-        Longest time that a caller is kept waiting for the answer's end.
+        Longest time until the end of the answer.
     latency_ms : float
         Objective: answer, or first event of a stream, within this time.
     gap_ms : float
-        Objective: longest pause between two events; 0 where there is none.
+        Objective: longest gap between two events; 0 if there is none.
     priority : int
-        Rank; 0 goes first.
+        0 goes first.
     attempts : int
-        Most targets that one request may be sent to.
+        Maximum number of targets that one request may be sent to.
     public : bool
         Whether requests need no key.
     resumable : bool
-        Whether a stream may go on at another target after its last event.
+        Whether another target may resume a stream after its last event.
     """
 
     name: str
@@ -70,7 +70,7 @@
 
 
 class Engine(NamedTuple):
-    """Figures of a model service's engines.
+    """Parameters of a model service's engines.
 
     Attributes
     ----------
@@ -79,11 +79,12 @@
     slots : int
         Requests that one engine runs at once.
     stride : int
-        Decode steps of one pass; an event of a stream holds so many tokens.
+        Decode steps of one batch step, and tokens of one event of a stream.
     step_ms, step_ms_per_request : float
-        Milliseconds of a decode step, and of each request that it writes for.
+        Milliseconds of a decode step, and extra milliseconds for each running
+        request.
     prefill_tokens_per_ms : float
-        Prompt tokens read in a millisecond.
+        Prompt tokens prefilled per millisecond.
     layers, chunks, chunk_bytes : int
         The model's layers, and the pieces that its weights consist of.
     """
@@ -100,7 +101,7 @@
 
 
 class Origin(NamedTuple):
-    """Where the weights of all models come from."""
+    """The origin that serves the weights of all models."""
 
     address: str
     failure_domain: str
@@ -119,7 +120,7 @@
 
 
 class EdgeLimits(NamedTuple):
-    """What a caller may send and how long it may take over it."""
+    """Limits on the size and duration of a caller's request."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -128,7 +129,7 @@
 
 
 class Account(NamedTuple):
-    """A client account; its priority, where set, goes before the route's."""
+    """A client account; its priority, if set, overrides the route's."""
 
     name: str
     keys: tuple[str, ...]
@@ -136,7 +137,7 @@
 
 
 class RoutingTable(NamedTuple):
-    """All routes, services and client accounts under one version."""
+    """All routes, services and client accounts of one version."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -146,11 +147,11 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether callers must show a key on routes that are not public."""
+        """Whether callers need a key on routes that are not public."""
         return bool(self.accounts)
 
     def engines(self) -> dict[str, Engine]:
-        """Return the engine figures of each model service, by service name."""
+        """Return the engine parameters of each model service, by service name."""
         return {s.name: s.engine for s in self.services if s.engine is not None}
 
     def origin(self) -> Origin | None:
