--- a/tests/test_advertised_rate.py
+++ b/tests/test_advertised_rate.py
@@ -1,4 +1,4 @@
-"""The rate that a target states in its answers."""
+"""Rates that targets advertise in their responses."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 )
 from wisteriapulley.policy.response_signals import ResponseSignals
 
-NONE = AdvertisedRate()
+NO_RATE = AdvertisedRate()
 
 
 class TestParseRate:
@@ -28,59 +28,61 @@
             (["4", "many"], 4.0),
         ],
     )
-    def test_readable(self, texts, per_s):
+    def test_valid(self, texts, per_s):
         assert parse_rate(texts).per_s == per_s
 
     @pytest.mark.parametrize(
         "text", ["", "-1", "nan", "inf", "1e3", "1_0", "1,2", "many", "9" * 400, "１"]
     )
-    def test_unreadable(self, text):
+    def test_invalid(self, text):
         assert parse_rate([text]) == AdvertisedRate(None, text)
 
 
-class TestKnownRate:
-    def heard(self, *words):
-        known = RateTracker()
-        changes = [known.observe(*word) for word in words]
-        return known, changes
+class TestRateTracker:
+    def observe_all(self, *responses):
+        tracker = RateTracker()
+        changes = [tracker.observe(*response) for response in responses]
+        return tracker, changes
 
-    def test_begins_changes_and_ends_with_the_answers(self):
-        known, changes = self.heard(
-            (NONE, 0.0, 0.1),
+    def test_follows_responses(self):
+        tracker, changes = self.observe_all(
+            (NO_RATE, 0.0, 0.1),
             (AdvertisedRate(2.0), 1.0, 1.1),
             (AdvertisedRate(2.0), 2.0, 2.1),
             (AdvertisedRate(1.5), 3.0, 3.1),
-            (NONE, 4.0, 4.1),
+            (NO_RATE, 4.0, 4.1),
         )
         assert changes == [False, True, True, True, True]
-        assert known.per_s is None and known.observed_s == 4.1
+        assert tracker.per_s is None and tracker.observed_s == 4.1
 
-    def test_answer_that_was_overtaken_ends_nothing(self):
-        known, changes = self.heard((AdvertisedRate(2.0), 1.0, 1.5), (NONE, 1.2, 1.6))
+    def test_response_out_of_order_does_not_clear(self):
+        tracker, changes = self.observe_all(
+            (AdvertisedRate(2.0), 1.0, 1.5), (NO_RATE, 1.2, 1.6)
+        )
         assert changes == [True, False]
-        assert known.per_s == 2.0
+        assert tracker.per_s == 2.0
 
-    def test_nothing_at_all_is_asked_for_now_and_then(self):
-        known, _ = self.heard((AdvertisedRate(0.0), 1.0, 1.1))
-        assert known.per_s == MIN_RATE_PER_S
+    def test_zero_is_raised_to_the_minimum(self):
+        tracker, _ = self.observe_all((AdvertisedRate(0.0), 1.0, 1.1))
+        assert tracker.per_s == MIN_RATE_PER_S
 
-    def test_what_is_no_rate_changes_nothing_and_is_told_once(self):
+    def test_invalid_text_changes_nothing_and_is_reported_once(self):
         bad = AdvertisedRate(None, "many")
-        known, changes = self.heard(
+        tracker, changes = self.observe_all(
             (bad, 0.0, 0.1), (AdvertisedRate(2.0), 1.0, 1.1), (bad, 2.0, 2.1)
         )
         assert changes == [False, True, False]
-        assert known.per_s == 2.0
-        assert [known.is_first_invalid(bad) for _ in range(2)] == [True, False]
+        assert tracker.per_s == 2.0
+        assert [tracker.is_first_invalid(bad) for _ in range(2)] == [True, False]
 
 
 class TestLogs:
-    """What tells afterwards which limit an entry was told, and when."""
+    """Log lines show which rate an entry observed, and when."""
 
     def lines(self, caplog, message):
         return [r for r in caplog.records if r.message == message]
 
-    def test_rate_is_told_with_its_target(self, caplog):
+    def test_rate_is_logged_with_its_target(self, caplog):
         caplog.set_level("INFO")
         serve(
             FakeAnswer([events(1, 2)], says=ResponseSignals(rate=AdvertisedRate(1.5)))
@@ -88,7 +90,7 @@
         (line,) = self.lines(caplog, "target states a rate")
         assert (line.target, line.per_s) == ("i-0", 1.5)
 
-    def test_unreadable_rate_is_told(self, caplog):
+    def test_invalid_rate_is_logged(self, caplog):
         serve(
             FakeAnswer(
                 [events(1, 2)],
@@ -98,7 +100,7 @@
         (line,) = self.lines(caplog, "rate can't be read")
         assert len(line.got) < 100
 
-    def test_other_instance_says_nothing_of_the_target(self, caplog):
+    def test_response_of_another_instance_is_ignored(self, caplog):
         caplog.set_level("INFO")
         other = FakeAnswer(
             status=421,
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Targets that turn requests away are left alone for a while."""
+"""Circuit breakers of targets that reject requests."""
 
 import random
 
@@ -19,27 +19,27 @@
 from wisteriapulley.policy.engine_slots import EngineSlots
 from wisteriapulley.policy.response_signals import RequestedCooldown, ResponseSignals
 
-TAKEN, AWAY = SendOutcome.ACCEPTED, SendOutcome.REJECTED
+ACCEPTED, REJECTED = SendOutcome.ACCEPTED, SendOutcome.REJECTED
 UNKNOWN = SendOutcome.UNKNOWN
 HOP_S = 0.004
 
 
-def asked(name, tokens=900):
+def slot_request_named(name, tokens=900):
     return slot_request(0, tokens, wait_ms=5000.0)._replace(request_id=name)
 
 
-def tripped(now_s=1.0):
-    """Return a breaker of a target that has just turned two requests away."""
+def open_breaker(now_s=1.0):
+    """Return a breaker of a target that has just rejected two requests."""
     breaker = CircuitBreaker()
     for number in range(2):
         sent_s = now_s + number * HOP_S
         breaker.record_sent(sent_s)
-        breaker.record_outcome(AWAY, sent_s, sent_s + HOP_S)
+        breaker.record_outcome(REJECTED, sent_s, sent_s + HOP_S)
     return breaker
 
 
-def try_once(breaker, now_s, outcome):
-    """Send when the breaker lets one pass; return when its end is known."""
+def send_once(breaker, now_s, outcome):
+    """Send once the breaker allows it; return when the outcome is known."""
     now_s += breaker.wait_s(now_s)
     assert not breaker.wait_s(now_s)
     breaker.record_sent(now_s)
@@ -48,44 +48,44 @@
 
 
 class TestCircuitBreaker:
-    def test_single_request_may_be_turned_away_for_its_own_sake(self):
+    def test_single_rejections_keep_it_closed(self):
         breaker = CircuitBreaker()
         for number in range(20):
             breaker.record_sent(number)
             breaker.record_outcome(
-                AWAY if number % 2 else TAKEN, number, number + HOP_S
+                REJECTED if number % 2 else ACCEPTED, number, number + HOP_S
             )
             assert not breaker.wait_s(number + HOP_S)
 
-    def test_two_in_a_row_leave_it_alone(self):
-        breaker = tripped(1.0)
+    def test_two_consecutive_rejections_open_it(self):
+        breaker = open_breaker(1.0)
         assert breaker.wait_s(1.0 + 2 * HOP_S) == pytest.approx(MIN_OPEN_S)
 
-    def test_one_that_asks_for_rest_is_believed_at_once(self):
+    def test_rejection_with_requested_cooldown_opens_it(self):
         breaker = CircuitBreaker()
         breaker.record_sent(1.0)
-        breaker.record_outcome(AWAY, 1.0, 1.0 + HOP_S, cooldown_requested=True)
+        breaker.record_outcome(REJECTED, 1.0, 1.0 + HOP_S, cooldown_requested=True)
         assert breaker.wait_s(1.0 + HOP_S) > 0
 
-    def test_pauses_grow_while_it_turns_all_away(self):
-        breaker, now_s, pauses = tripped(1.0), 1.1, []
+    def test_open_periods_grow_while_target_rejects_all(self):
+        breaker, now_s, open_periods = open_breaker(1.0), 1.1, []
         for _ in range(8):
-            now_s = try_once(breaker, now_s, AWAY)
-            pauses.append(breaker.wait_s(now_s))
-        assert pauses == sorted(pauses)
-        assert pauses[-1] == pytest.approx(MAX_OPEN_S)
+            now_s = send_once(breaker, now_s, REJECTED)
+            open_periods.append(breaker.wait_s(now_s))
+        assert open_periods == sorted(open_periods)
+        assert open_periods[-1] == pytest.approx(MAX_OPEN_S)
 
-    def test_what_was_on_its_way_makes_no_pause_longer(self):
-        """Load: ten requests are in flight when a target begins to turn away."""
+    def test_rejected_requests_in_flight_do_not_extend_open_period(self):
+        """Ten requests are in flight when a target begins to reject."""
         breaker = CircuitBreaker()
         for number in range(10):
             breaker.record_sent(1.0 + number / 1000)
         for number in range(10):
-            breaker.record_outcome(AWAY, 1.0 + number / 1000, 1.02 + number / 1000)
+            breaker.record_outcome(REJECTED, 1.0 + number / 1000, 1.02 + number / 1000)
         assert breaker.wait_s(1.03) <= MIN_OPEN_S
 
-    def test_one_goes_first_and_more_as_they_are_taken(self):
-        breaker = tripped(1.0)
+    def test_probes_double_while_accepted(self):
+        breaker = open_breaker(1.0)
         now_s = 1.0 + 2 * HOP_S + MIN_OPEN_S
         passed = []
         for _ in range(4):
@@ -95,42 +95,42 @@
                 breaker.record_sent(now_s)
             passed.append(len(sent))
             for sent_s in sent:
-                breaker.record_outcome(TAKEN, sent_s, now_s + HOP_S)
+                breaker.record_outcome(ACCEPTED, sent_s, now_s + HOP_S)
             now_s += HOP_S
         assert passed[0] == 1
         assert passed[1] == 2
         assert passed[-1] == 100
 
-    def test_request_that_runs_counts_as_taken(self):
-        """Load: streams of seconds, whose ends would be waited for in vain."""
-        breaker = tripped(1.0)
+    def test_running_request_counts_as_accepted(self):
+        """Streams end only after seconds; the breaker can't wait for that."""
+        breaker = open_breaker(1.0)
         now_s = 2.0
         breaker.record_sent(now_s)
         assert breaker.wait_s(now_s) == pytest.approx(ACCEPTED_AFTER_S)
         assert not breaker.wait_s(now_s + ACCEPTED_AFTER_S)
 
-    def test_one_that_can_not_be_sent_again_is_no_trial_before_others(self):
-        breaker = tripped(1.0)
+    def test_last_send_is_no_probe_before_others(self):
+        breaker = open_breaker(1.0)
         open_s = 1.0 + 2 * HOP_S + MIN_OPEN_S
         assert not breaker.wait_s(open_s)
         assert breaker.wait_s(open_s, is_last=True) > 0
         assert not breaker.wait_s(open_s + MAX_OPEN_S, is_last=True)
 
-    def test_trial_that_was_not_sent_blocks_no_other(self):
-        breaker = tripped(1.0)
+    def test_probe_that_was_not_sent_is_released(self):
+        breaker = open_breaker(1.0)
         breaker.record_sent(2.0)
         assert breaker.wait_s(2.0)
         breaker.record_outcome(UNKNOWN, 2.0, 2.0)
         assert not breaker.wait_s(2.0)
 
-    def test_end_of_an_older_request_tells_nothing(self):
-        breaker = tripped(1.0)
-        breaker.record_outcome(TAKEN, 0.5, 1.01)
+    def test_outcome_of_an_older_request_is_ignored(self):
+        breaker = open_breaker(1.0)
+        breaker.record_outcome(ACCEPTED, 0.5, 1.01)
         assert breaker.wait_s(1.01) > 0
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_costs_few_sends_and_ends_soon_whatever_comes(self, seed):
-        """A target turns all away for 20 s, and then takes all."""
+    def test_few_sends_while_rejecting_and_fast_recovery(self, seed):
+        """A target rejects all requests for 20 s, and then accepts all."""
         rng = random.Random(seed)
         breaker, now_s, sends, last_s = CircuitBreaker(), 0.0, 0, 0.0
         in_flight = []
@@ -138,7 +138,9 @@
             now_s += rng.expovariate(200.0)
             for sent_s, end_s in [f for f in in_flight if f[1] <= now_s]:
                 in_flight.remove((sent_s, end_s))
-                breaker.record_outcome(AWAY if sent_s < 20.0 else TAKEN, sent_s, end_s)
+                breaker.record_outcome(
+                    REJECTED if sent_s < 20.0 else ACCEPTED, sent_s, end_s
+                )
             if breaker.wait_s(now_s):
                 last_s = now_s
                 continue
@@ -153,75 +155,76 @@
     @pytest.mark.parametrize(
         ("status", "said", "outcome"),
         [
-            (200, {}, TAKEN),
-            (500, {}, TAKEN),
-            (503, {}, TAKEN),
-            (503, {"not_run": True}, AWAY),
-            (429, {"not_run": True}, AWAY),
-            (503, {"says": ResponseSignals(cooldown=RequestedCooldown(1.0))}, AWAY),
-            # Refused for what the request is.
+            (200, {}, ACCEPTED),
+            (500, {}, ACCEPTED),
+            (503, {}, ACCEPTED),
+            (503, {"not_run": True}, REJECTED),
+            (429, {"not_run": True}, REJECTED),
+            (503, {"says": ResponseSignals(cooldown=RequestedCooldown(1.0))}, REJECTED),
+            # Refused for a property of the request itself.
             (400, {"not_run": True}, UNKNOWN),
         ],
     )
-    def test_is_known_by_status_and_what_the_target_says(self, status, said, outcome):
+    def test_outcome_from_status_and_signals(self, status, said, outcome):
         assert outcome_of(FakeAnswer(status=status, **said)) is outcome
 
 
 class TestTarget:
-    def test_is_no_candidate_while_it_is_left_alone(self):
+    def test_no_candidate_while_circuit_is_open(self):
         registry = registry_of("a", "b")
         target = registry.targets["a"]
         for number in range(2):
             target.sent(1.0 + number)
-            target.ended(1.0 + number, 1.5 + number, AWAY)
+            target.ended(1.0 + number, 1.5 + number, REJECTED)
         assert [t.target_id for t in registry.candidates("s", 2.5)] == ["b"]
         assert registry.holds_back_s("s", 2.5) == 0.0
         assert len(registry.candidates("s", 2.6)) == 2
         assert target.outstanding == 0
 
 
-class TestPlaces:
-    """The sidecar hears from entries that its engine turned away what it granted."""
+class TestEngineSlots:
+    """Entries report to the sidecar that its engine rejected granted requests."""
 
-    def places(self):
-        places = EngineSlots(ENGINE)
-        places.open = True
-        return places
+    def slots(self):
+        slots = EngineSlots(ENGINE)
+        slots.open = True
+        return slots
 
-    def turn_away(self, places, now_ms, count=2):
+    def reject(self, slots, now_ms, count=2):
         for number in range(count):
             name = f"away-{now_ms}-{number}"
-            assert places.request_slot(asked(name), now_ms).granted
-            places.record_end(name, AWAY, now_ms + 4)
+            assert slots.request_slot(slot_request_named(name), now_ms).granted
+            slots.record_end(name, REJECTED, now_ms + 4)
 
-    def test_grants_nothing_for_a_while(self):
-        places = self.places()
-        self.turn_away(places, 1000.0)
-        denied = places.request_slot(asked("next"), 1005.0)
+    def test_grants_nothing_while_open(self):
+        slots = self.slots()
+        self.reject(slots, 1000.0)
+        denied = slots.request_slot(slot_request_named("next"), 1005.0)
         assert denied.denied and denied.limited
         assert 0 < denied.retry_ms <= 1000 * MIN_OPEN_S
-        assert places.grants == {}
+        assert slots.grants == {}
 
-    def test_learns_nothing_of_the_time_that_requests_take(self):
-        places = self.places()
-        hold_ms = places.mean_hold_ms
-        self.turn_away(places, 1000.0)
-        assert places.mean_hold_ms == hold_ms
+    def test_rejected_requests_are_no_samples_of_hold_time(self):
+        slots = self.slots()
+        hold_ms = slots.mean_hold_ms
+        self.reject(slots, 1000.0)
+        assert slots.mean_hold_ms == hold_ms
 
-    def test_those_that_wait_are_sent_on_at_once(self):
-        places = self.places()
-        names = [f"r{number}" for number in range(places.max_grants)]
+    def test_queued_requests_are_denied_at_once(self):
+        slots = self.slots()
+        names = [f"r{number}" for number in range(slots.max_grants)]
         assert all(
-            places.request_slot(asked(name, 1), 1000.0).granted for name in names
+            slots.request_slot(slot_request_named(name, 1), 1000.0).granted
+            for name in names
         )
-        assert not places.request_slot(asked("waits", 1), 1000.0).denied
+        assert not slots.request_slot(slot_request_named("waits", 1), 1000.0).denied
         for name in names[:2]:
-            places.record_end(name, AWAY, 1004.0)
-        (verdict,) = places.advance(1004.0)
-        assert verdict.denied and verdict.limited
-
-    def test_later_start_of_the_engine_is_judged_anew(self):
-        places = self.places()
-        self.turn_away(places, 1000.0)
-        later = asked("later")._replace(target="i-1/2")
-        assert places.request_slot(later, 1005.0).granted
+            slots.record_end(name, REJECTED, 1004.0)
+        (decision,) = slots.advance(1004.0)
+        assert decision.denied and decision.limited
+
+    def test_new_incarnation_gets_its_own_breaker(self):
+        slots = self.slots()
+        self.reject(slots, 1000.0)
+        later = slot_request_named("later")._replace(target="i-1/2")
+        assert slots.request_slot(later, 1005.0).granted
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one."""
+"""Fingerprints of requests."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class TestFingerprint:
-    def test_same_request_has_the_same_name(self):
+    def test_same_request_has_same_fingerprint(self):
         assert fingerprint(*SAME) == fingerprint(*SAME)
         assert len(fingerprint(*SAME)) == DIGEST_BYTES
 
@@ -21,12 +21,12 @@
             (KEY, "host", "/other/", "account", b"body"),
             (KEY, "host", "/path/", "other", b"body"),
             (KEY, "host", "/path/", "account", b"other"),
-            # The same bytes, split in another place.
+            # The same bytes, split at another place.
             (KEY, "host", "/path/a", "ccount", b"body"),
         ],
     )
-    def test_any_other_request_has_another(self, changed):
+    def test_different_request_has_different_fingerprint(self, changed):
         assert fingerprint(*changed) != fingerprint(*SAME)
 
-    def test_long_key_is_taken(self):
+    def test_long_key_is_accepted(self):
         assert fingerprint(b"k" * 500, *SAME[1:])
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Pure policy over virtual time, judged by what callers got."""
+"""Policies on virtual time, judged by the results for callers."""
 
 import random
 from collections import Counter
@@ -20,7 +20,7 @@
 from wisteriapulley.policy.service_times import ServiceTimes
 from wisteriapulley.policy.work import Work
 
-# Report-writing model servers of the brief.
+# Model servers that write reports.
 TARGETS, SLOTS = 6, 4
 ACCOUNTS = [Demand(f"a{i}", 1.0, 20.0) for i in range(4)]
 
@@ -44,7 +44,7 @@
 
 
 class TestScheduler:
-    def test_saturation_keeps_goodput_and_refuses_the_rest_at_once(self):
+    def test_saturation_keeps_goodput_and_refuses_excess_at_once(self):
         full, over = serve(ACCOUNTS, 1.0), serve(ACCOUNTS, 3.0)
         in_time = [sum(r.in_time for r in results) for results in (full, over)]
         assert in_time[1] >= 0.95 * in_time[0]
@@ -53,18 +53,18 @@
         at_once = sum(r.took_s == 0 for r in over if r.code)
         assert at_once >= 0.9 * sum(r.code != 0 for r in over)
 
-    def test_burst_is_answered_when_its_deadlines_allow(self):
+    def test_burst_is_answered_if_deadlines_allow(self):
         results = serve(ACCOUNTS, 0.5, burst=40)
         assert all(result.in_time for result in results)
 
-    def test_account_at_ten_times_its_share_costs_others_nothing(self):
+    def test_account_at_ten_times_its_share_does_not_affect_others(self):
         mix = [ACCOUNTS[0]._replace(share=10.0), *ACCOUNTS[1:]]
         got = Counter(r.work.account for r in serve(mix, 2.0) if r.in_time)
         asked = Counter(r.work.account for r in serve(mix, 2.0))
         for account in ("a1", "a2", "a3"):
             assert got[account] >= 0.95 * asked[account]
 
-    def test_slow_target_hardly_shows(self):
+    def test_slow_target_has_little_effect(self):
         healthy = slowest(serve(ACCOUNTS, 0.5))
         ours = slowest(serve(ACCOUNTS, 0.5, slowness=[10.0]))
         baseline = slowest(serve(ACCOUNTS, 0.5, ours=False, slowness=[10.0]))
@@ -76,7 +76,7 @@
         assert slowest(ours, 20.0) <= 0.5 * slowest(baseline, 20.0)
         assert all(r.in_time for r in ours if r.work.units == 400.0 and r.code == 0)
 
-    def test_refusal_says_when_to_come_back(self):
+    def test_refusal_has_retry_time(self):
         scheduler = Scheduler(LeastOutstanding(random.Random(1)))
         scheduler.times.record(work(), 1.0)
         full = [TargetView("t", 1)]
@@ -93,7 +93,7 @@
         assert caught.value.code == ResultCode.NO_TARGET
 
     def test_own_requests_correct_a_lagging_report(self):
-        # Guards: all of a burst went to the target that last looked idle.
+        # Guards against sending all of a burst to the target that last looked idle.
         target = TargetView("t", in_flight=5, reported=7, in_flight_at_report=4)
         assert target.outstanding == 8
 
@@ -103,7 +103,7 @@
         while len(queue):
             yield queue.pop()
 
-    def test_accounts_take_turns_by_cost(self):
+    def test_accounts_alternate_by_cost(self):
         queue = FairQueue()
         for number in range(4):
             queue.push(work(number, "big"), 2.0)
@@ -112,7 +112,7 @@
         order = [w.account for w in self.drain(queue)]
         assert order[:6].count("small") == 4
 
-    def test_leaving_and_coming_back_earns_nothing(self):
+    def test_leaving_and_rejoining_gains_nothing(self):
         queue = FairQueue()
         for number in range(3):
             queue.push(work(number, "steady"), 1.0)
@@ -122,13 +122,13 @@
             second = queue.pop().account
             assert {first, second} == {"steady", "comes"}
 
-    def test_removed_work_is_charged_nothing(self):
+    def test_removed_work_is_not_charged(self):
         queue = FairQueue()
         queue.push(work(1), 5.0)
         assert queue.remove(work(1)) and not queue.remove(work(1))
         assert (len(queue), queue.cost_s, queue.accounts) == (0, 0.0, {})
 
-    def test_wait_counts_fair_turns_and_not_the_whole_queue(self):
+    def test_wait_counts_fair_shares_not_the_whole_queue(self):
         queue = PriorityQueue()
         for number in range(100):
             queue.push(work(number, "big"), 1.0)
@@ -142,16 +142,16 @@
         assert [w.id for w in self.drain(queue)] == [2, 1]
 
 
-class TestOutliers:
-    def learned(self, ratios, times=4):
+class TestOutlierDetector:
+    def detector(self, ratios, times=4):
         outliers = OutlierDetector()
         for _ in range(times):
             for name, ratio in ratios.items():
                 outliers.record(name, ratio, 0.0)
         return outliers
 
-    def test_slow_one_is_out_and_probed_back(self):
-        outliers = self.learned({"a": 1.0, "b": 1.0, "c": 1.0, "slow": 9.0})
+    def test_slow_target_is_ejected_and_restored_by_probe(self):
+        outliers = self.detector({"a": 1.0, "b": 1.0, "c": 1.0, "slow": 9.0})
         assert list(outliers.ejected) == ["slow"]
         assert outliers.next_probe(4.0) is None
         assert (outliers.next_probe(5.5), outliers.next_probe(5.6)) == ("slow", None)
@@ -161,24 +161,24 @@
         outliers.record("slow", 1.0, 17.0, probe=True)
         assert not outliers.ejected
 
-    def test_when_all_are_slow_load_is_the_cause(self):
-        assert not self.learned({"a": 9.0, "b": 9.0, "c": 9.0, "d": 9.0}).ejected
+    def test_no_ejection_if_all_are_slow(self):
+        assert not self.detector({"a": 9.0, "b": 9.0, "c": 9.0, "d": 9.0}).ejected
 
-    def test_share_taken_out_is_bounded(self):
+    def test_ejected_fraction_is_bounded(self):
         ratios = {f"t{i}": 1.0 if i < 6 else 50.0 for i in range(10)}
-        assert len(self.learned(ratios).ejected) == 3
+        assert len(self.detector(ratios).ejected) == 3
 
-    def test_two_targets_do_not_tell_which_is_slow(self):
-        assert not self.learned({"a": 1.0, "b": 9.0}).ejected
+    def test_no_ejection_with_two_targets(self):
+        assert not self.detector({"a": 1.0, "b": 9.0}).ejected
 
-    def test_targets_that_went_are_forgotten(self):
-        outliers = self.learned({"a": 1.0, "b": 1.0, "c": 9.0})
+    def test_removed_targets_are_dropped(self):
+        outliers = self.detector({"a": 1.0, "b": 1.0, "c": 9.0})
         outliers.retain(["a"])
         assert (list(outliers.ratios), outliers.ejected) == (["a"], {})
 
 
 class TestServiceTimes:
-    def test_unseen_size_is_scaled_from_a_neighbour(self):
+    def test_unseen_size_is_scaled_from_nearest_class(self):
         times = ServiceTimes()
         assert times.estimate(work(units=4.0)).mean == 0.0
         times.record(work(units=4.0), 1.0)
@@ -186,7 +186,7 @@
 
 
 class TestAdmission:
-    def test_rate_is_by_account_and_invented_accounts_do_not_grow(self):
+    def test_rate_is_per_account_and_table_is_bounded(self):
         admission = Admission(max_buckets=3)
         limits = Limits(requests_per_s=10.0, burst=2)
         for _ in range(2):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing tables: lookup, checks, and the platform's text of them."""
+"""Routing tables: lookup, validation, and decoding of the platform's documents."""
 
 import json
 
@@ -311,7 +311,7 @@
         assert other.weights == {"m": 2}
 
     def test_snapshot_of_an_earlier_release_opens(self):
-        # It has neither routing nor weights.
+        # Such a snapshot has neither routing nor weights.
         state = ControlState()
         image = msgspec.msgpack.decode(state.snapshot())
         del image["routing"], image["weights"]
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -1,4 +1,4 @@
-"""Second sends that all entries may make together."""
+"""Retry budget that all entries share."""
 
 import pytest
 
@@ -10,29 +10,29 @@
 RATIO, SLACK, WINDOW_S = 0.2, 108.0, 10.0
 
 
-def second_sends(entries, per_s, told=0):
-    """Count second sends of one window in which every first send fails."""
+def count_retries(entries, per_s, reported=0):
+    """Return the number of retries in one window in which every first send fails."""
     budgets = [SharedRetryBudget(RATIO, SLACK, WINDOW_S) for _ in range(entries)]
-    sends = 0
+    retries = 0
     for number in range(int(per_s * WINDOW_S)):
         now_s = number / per_s
         budget = budgets[number % entries]
-        budget.update_entries(told)
+        budget.update_entries(reported)
         budget.record_request(now_s)
-        sends += budget.spend(now_s)
-    return sends
+        retries += budget.spend(now_s)
+    return retries
 
 
 class TestSharedRetryBudget:
     @pytest.mark.parametrize("entries", [1, 7, 20, 60, 150])
     @pytest.mark.parametrize("per_s", [2, 14, 40, 90, 300])
-    def test_any_number_of_entries_keeps_the_whole(self, entries, per_s):
-        """Load: every first send to a service fails, at all entries."""
+    def test_total_is_kept_by_any_number_of_entries(self, entries, per_s):
+        """Every first send to a service fails, at all entries."""
         allowed = RATIO * per_s * WINDOW_S + SLACK
-        assert second_sends(entries, per_s, told=entries) <= allowed
+        assert count_retries(entries, per_s, reported=entries) <= allowed
 
-    def test_larger_fleet_is_not_forgotten(self):
-        """Instances that are cut off know of few entries."""
+    def test_smaller_entry_count_is_ignored(self):
+        """Control instances that are cut off know of few entries."""
         budget = SharedRetryBudget(RATIO, SLACK, WINDOW_S)
         budget.update_entries(100)
         budget.update_entries(3)
@@ -40,7 +40,7 @@
 
 
 class TestEntriesInFleet:
-    def test_each_entry_follows_some_instances(self):
+    def test_each_entry_follows_several_instances(self):
         assert FOLLOWED_INSTANCES == 2
         assert entries_in_fleet([7, 7, 0]) == 7
         assert entries_in_fleet([40, 41, 39]) == 60
@@ -53,14 +53,14 @@
 
 
 class TestFleet:
-    def test_entries_learn_how_many_they_are(self, tmp_path):
+    def test_entries_receive_their_number(self, tmp_path):
         fleet = Fleet(tmp_path, [PlainTarget(0)])
 
         async def scenario(fleet):
-            async def know():
+            async def all_informed():
                 entries = fleet.entries.values()
                 return all(entry.dispatcher.entries == ENTRIES for entry in entries)
 
-            await fleet.until(know)
+            await fleet.until(all_informed)
 
         play(fleet, scenario)
--- a/tests/test_token_bucket.py
+++ b/tests/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""A rate with a bounded burst."""
+"""Token bucket: a rate with a bounded burst."""
 
 from wisteriapulley.policy.token_bucket import TokenBucket
 
@@ -11,12 +11,12 @@
         assert bucket.take(10.6)
         assert not bucket.take(10.6)
 
-    def test_rest_fills_it_only_to_its_limit(self):
+    def test_idle_bucket_fills_only_to_burst(self):
         bucket = TokenBucket(2.0, 3.0)
         assert all(bucket.take(10.0) for _ in range(3))
         assert [bucket.take(1000.0) for _ in range(4)] == [True] * 3 + [False]
 
-    def test_clock_that_goes_back_gives_nothing(self):
+    def test_clock_going_back_adds_nothing(self):
         bucket = TokenBucket(1.0, 1.0)
         assert bucket.take(10.0)
         assert not bucket.take(5.0)
