--- a/src/wisteriapulley/emulator/experiment.py
+++ b/src/wisteriapulley/emulator/experiment.py
@@ -50,7 +50,7 @@
         sum(o.late for o in outcomes) / asked,
         sum(o.refused for o in outcomes) / asked,
         sum(o.worth for o in outcomes) / len(outcomes),
-        sum(o.worst for o in outcomes) / len(outcomes),
+        sum(o.worst_window for o in outcomes) / len(outcomes),
     )
 
 
--- a/src/wisteriapulley/emulator/fleet.py
+++ b/src/wisteriapulley/emulator/fleet.py
@@ -104,7 +104,7 @@
         Number of requests, and of each outcome.
     worth : float
         Earned fraction of the total worth.
-    worst : float
+    worst_window : float
         The same in the worst two seconds.
     """
 
@@ -113,7 +113,7 @@
     late: int
     refused: int
     worth: float
-    worst: float
+    worst_window: float
 
 
 class EmulatedRequest:
@@ -159,8 +159,8 @@
         self.asked_engine: dict[str, int] = {}
         self.waiting: dict[str, EmulatedRequest] = {}
         self.engine_slots = [self.new_engine_slots() for _ in range(scenario.engines)]
-        for places in self.engine_slots[: scenario.limited_engines]:
-            places.rate_limits.update("", scenario.limit_per_s, 0.0)
+        for slots in self.engine_slots[: scenario.limited_engines]:
+            slots.rate_limits.update("", scenario.limit_per_s, 0.0)
         self.engines = [
             EmulatedEngine(
                 ENGINE, self.schedule, self.record_first_event, self.release_slot
@@ -220,26 +220,26 @@
         """Choose the order in which to ask sidecars, and ask the first one."""
         remaining_s = self.remaining_wait_ms(request) / 1000
         request.is_retry = self.retry_detector.is_retry(remaining_s, self.now_ms / 1000)
-        open_engines = [n for n, places in enumerate(self.engine_slots) if places.open]
+        open_engines = [n for n, slots in enumerate(self.engine_slots) if slots.open]
         open_engines.sort(key=lambda n: (self.reported_load(n), self.rng.random()))
         request.candidates, request.asks_left = open_engines, self.scenario.max_asked
         self.ask_next_engine(request)
 
-    def reported_load(self, number: int) -> int:
+    def reported_load(self, engine_index: int) -> int:
         """Return the load that an engine's sidecar reports."""
-        slots = self.engine_slots[number]
+        slots = self.engine_slots[engine_index]
         return len(slots.grants) + len(slots.queue)
 
     def ask_next_engine(self, request: EmulatedRequest) -> None:
         """Ask sidecars in turn until one grants a slot or queues the request."""
         while request.candidates and request.asks_left:
-            number = request.candidates.pop(0)
-            decision = self.engine_slots[number].request_slot(
+            engine_index = request.candidates.pop(0)
+            decision = self.engine_slots[engine_index].request_slot(
                 self.slot_request(request), self.now_ms
             )
-            self.asked_engine[request.request_id] = number
+            self.asked_engine[request.request_id] = engine_index
             if decision.granted:
-                self.send_to_engine(request, number)
+                self.send_to_engine(request, engine_index)
                 return
             if not decision.denied:
                 self.waiting[request.request_id] = request
@@ -278,10 +278,12 @@
         """Return how long a caller still waits."""
         return request.max_wait_ms - (self.now_ms - request.at_ms)
 
-    def send_to_engine(self, request: EmulatedRequest, number: int) -> None:
+    def send_to_engine(self, request: EmulatedRequest, engine_index: int) -> None:
         """Send a request to its engine."""
         job = Job(request.request_id, request.prompt, request.events)
-        self.schedule(2 * NETWORK_DELAY_MS, lambda: self.engines[number].submit(job))
+        self.schedule(
+            2 * NETWORK_DELAY_MS, lambda: self.engines[engine_index].submit(job)
+        )
 
     def record_first_event(self, request_id: str) -> None:
         """Record the outcome at the first event."""
@@ -294,30 +296,30 @@
 
     def release_slot(self, request_id: str) -> None:
         """Release the slot after the network delay."""
-        number = self.asked_engine[request_id]
+        engine_index = self.asked_engine[request_id]
 
-        def give_back() -> None:
-            self.engine_slots[number].release(request_id, self.now_ms)
-            self.advance_queue(number)
+        def release() -> None:
+            self.engine_slots[engine_index].release(request_id, self.now_ms)
+            self.advance_queue(engine_index)
 
-        self.schedule(2 * NETWORK_DELAY_MS, give_back)
+        self.schedule(2 * NETWORK_DELAY_MS, release)
 
     def advance_all_queues(self) -> None:
         """Advance all queues periodically, as sidecars do."""
-        for number in range(len(self.engine_slots)):
-            self.advance_queue(number)
+        for engine_index in range(len(self.engine_slots)):
+            self.advance_queue(engine_index)
         self.schedule(ADVANCE_INTERVAL_MS, self.advance_all_queues)
 
-    def advance_queue(self, number: int) -> None:
+    def advance_queue(self, engine_index: int) -> None:
         """Apply the decisions on queued requests."""
-        for decision in tuple(self.engine_slots[number].advance(self.now_ms)):
-            self.apply_decision(decision, number)
+        for decision in tuple(self.engine_slots[engine_index].advance(self.now_ms)):
+            self.apply_decision(decision, engine_index)
 
-    def apply_decision(self, decision: AdmissionDecision, number: int) -> None:
+    def apply_decision(self, decision: AdmissionDecision, engine_index: int) -> None:
         """Send a request that was queued, or ask the next sidecar."""
         request = self.waiting.pop(decision.request_id)
         if decision.granted:
-            self.send_to_engine(request, number)
+            self.send_to_engine(request, engine_index)
         else:
             self.ask_next_engine(request)
 
@@ -326,34 +328,36 @@
     def schedule_changes(self) -> None:
         """Schedule each engine's change in its turn."""
         scenario = self.scenario
-        for number in range(scenario.engines):
-            turn = SwitchRank(number, scenario.engines)
+        for engine_index in range(scenario.engines):
+            turn = SwitchRank(engine_index, scenario.engines)
             due = switch_due_ms(turn, scenario.download_ms, scenario.superseded_ms)
             at_ms = scenario.change_s * 1000 + due
             self.schedule(
-                scenario.change_s * 1000, self.change_announcement(number, at_ms)
+                scenario.change_s * 1000, self.change_announcement(engine_index, at_ms)
             )
-            self.schedule(at_ms, self.change_action(number))
+            self.schedule(at_ms, self.change_action(engine_index))
 
-    def change_announcement(self, number: int, at_ms: float) -> Callable[[], None]:
+    def change_announcement(
+        self, engine_index: int, at_ms: float
+    ) -> Callable[[], None]:
         """Return a function that announces a change to an engine's slots."""
 
         def announce() -> None:
-            self.engine_slots[number].closes_at_ms = at_ms
+            self.engine_slots[engine_index].closes_at_ms = at_ms
 
         return announce
 
-    def change_action(self, number: int) -> Callable[[], None]:
+    def change_action(self, engine_index: int) -> Callable[[], None]:
         """Return a function that changes an engine's weights."""
 
-        def opened() -> None:
-            self.engine_slots[number].open = True
-            self.engine_slots[number].closes_at_ms = None
+        def open_admission() -> None:
+            self.engine_slots[engine_index].open = True
+            self.engine_slots[engine_index].closes_at_ms = None
 
         def change() -> None:
-            self.engine_slots[number].close()
-            self.advance_queue(number)
-            self.engines[number].load(LOAD_MS, opened)
+            self.engine_slots[engine_index].close()
+            self.advance_queue(engine_index)
+            self.engines[engine_index].load(LOAD_MS, open_admission)
 
         return change
 
--- a/src/wisteriapulley/policy/advertised_rate.py
+++ b/src/wisteriapulley/policy/advertised_rate.py
@@ -136,17 +136,17 @@
         observed_s : float
             When an entry observed that.
         """
-        known = self.limits.get(target)
-        if known is not None and observed_s < known.observed_s:
+        current = self.limits.get(target)
+        if current is not None and observed_s < current.observed_s:
             return
-        if known is None and per_s is None:
+        if current is None and per_s is None:
             return
         rate = self.fraction * per_s if per_s is not None else 0.0
         burst = max(MIN_BURST, rate * BURST_S)
-        if known is None or known.per_s is None:
+        if current is None or current.per_s is None:
             bucket = TokenBucket(rate, burst, available=0.0)
         else:
-            bucket = known.bucket
+            bucket = current.bucket
             bucket.set_rate(rate, burst, observed_s)
         self.limits[target] = RateLimit(per_s, observed_s, bucket)
 
--- a/src/wisteriapulley/policy/crash_suspects.py
+++ b/src/wisteriapulley/policy/crash_suspects.py
@@ -109,37 +109,39 @@
         SuspectRecord
             The request's record, even if there is no room to keep it.
         """
-        known = self.records.get(digest)
+        current = self.records.get(digest)
         record = SuspectRecord(
-            known.cleared if known is not None else 0, (incarnation,), now_s
+            current.cleared if current is not None else 0, (incarnation,), now_s
         )
         self.merge(digest, record)
         return self.records.get(digest, record)
 
     def record_answer(self, digest: bytes, now_s: float) -> bool:
         """Clear a completely answered request; return whether its record changed."""
-        known = self.records.get(digest)
-        if known is None or not known.ended:
+        current = self.records.get(digest)
+        if current is None or not current.ended:
             return False
-        self.records[digest] = SuspectRecord(known.cleared + 1, (), now_s)
+        self.records[digest] = SuspectRecord(current.cleared + 1, (), now_s)
         return True
 
     def merge(self, digest: bytes, record: SuspectRecord) -> bool:
         """Merge a record; return whether it changed anything."""
-        known = self.records.get(digest)
-        if known is None:
+        current = self.records.get(digest)
+        if current is None:
             if not record.ended:
                 # Cleared elsewhere before any of its ended targets were known here.
                 return False
-            new = record
-        elif record.cleared != known.cleared:
-            new = max(record, known, key=lambda r: r.cleared)
+            merged = record
+        elif record.cleared != current.cleared:
+            merged = max(record, current, key=lambda r: r.cleared)
         else:
-            ended = truncate_incarnations((*known.ended, *record.ended))
-            new = SuspectRecord(known.cleared, ended, max(known.at_s, record.at_s))
-        if known is not None and new[:2] == known[:2]:
+            ended = truncate_incarnations((*current.ended, *record.ended))
+            merged = SuspectRecord(
+                current.cleared, ended, max(current.at_s, record.at_s)
+            )
+        if current is not None and merged[:2] == current[:2]:
             return False
-        self.records[digest] = new
+        self.records[digest] = merged
         if len(self.records) > self.max_records:
             del self.records[min(self.records, key=self.retention_rank)]
         return True
--- a/src/wisteriapulley/policy/drain.py
+++ b/src/wisteriapulley/policy/drain.py
@@ -3,7 +3,7 @@
 # Long enough for several short requests to end, short enough to notice the loss of a
 # target.
 WINDOW_S = 0.5
-GAIN = 0.4
+SMOOTHING = 0.4
 # Keeps the wait finite for a stopped queue, so that Retry-After stays reasonable.
 MIN_RATE = 0.05
 
@@ -34,8 +34,8 @@
         if elapsed_s < WINDOW_S:
             return
         sample = self.started_work_s / elapsed_s
-        known = sample if self.rate is None else self.rate
-        self.rate = known + GAIN * (sample - known)
+        current = sample if self.rate is None else self.rate
+        self.rate = current + SMOOTHING * (sample - current)
         self.window_start_s = now_s
         self.started_work_s = 0.0
 
--- a/src/wisteriapulley/policy/outliers.py
+++ b/src/wisteriapulley/policy/outliers.py
@@ -61,8 +61,8 @@
             if probe:
                 self.evaluate_probe(node_id, ratio, now_s)
             return
-        known = self.ratios.get(node_id, ratio)
-        self.ratios[node_id] = known + SMOOTHING * (ratio - known)
+        current = self.ratios.get(node_id, ratio)
+        self.ratios[node_id] = current + SMOOTHING * (ratio - current)
         self.samples[node_id] = self.samples.get(node_id, 0) + 1
         if self.is_slow(node_id):
             self.ejected[node_id] = Ejection(
--- a/src/wisteriapulley/policy/service_times.py
+++ b/src/wisteriapulley/policy/service_times.py
@@ -30,15 +30,15 @@
     def record(self, work: Work, seconds: float) -> None:
         """Record how long a request took at a healthy target."""
         key = (work.kind, size_class(work.units))
-        known = self.estimates.get(key)
-        if known is None:
+        current = self.estimates.get(key)
+        if current is None:
             if len(self.estimates) < MAX_CLASSES:
                 self.estimates[key] = Estimate(seconds, seconds / 4)
             return
-        error = seconds - known.mean
+        error = seconds - current.mean
         self.estimates[key] = Estimate(
-            known.mean + SMOOTHING * error,
-            known.deviation + SMOOTHING * (abs(error) - known.deviation),
+            current.mean + SMOOTHING * error,
+            current.deviation + SMOOTHING * (abs(error) - current.deviation),
         )
 
     def estimate(self, work: Work) -> Estimate:
@@ -47,9 +47,9 @@
         A class without samples is scaled from the nearest class that has some.
         """
         number = size_class(work.units)
-        known = self.estimates.get((work.kind, number))
-        if known is not None:
-            return known
+        current = self.estimates.get((work.kind, number))
+        if current is not None:
+            return current
         for distance in range(1, 16):
             for other in (number - distance, number + distance):
                 neighbor = self.estimates.get((work.kind, other))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -68,7 +68,9 @@
             run_scenario(seed=seed, load=1.1, max_overrun_ms=9000.0)
             for seed in range(1, 9)
         ]
-        assert sum(o.worst for o in with_rule) > sum(o.worst for o in without_rule)
+        assert sum(o.worst_window for o in with_rule) > sum(
+            o.worst_window for o in without_rule
+        )
         # The arrivals differ a little, so fractions are compared, not counts.
         assert in_time(with_rule) > in_time(without_rule)
 
