--- a/bench/turned_away.py
+++ b/bench/turned_away.py
@@ -15,13 +15,13 @@
 
 from tests.fakes.links import WrittenLink
 
-from wisteriapulley.direct.crashes import CrashWatch
+from wisteriapulley.direct.crashes import CrashTracker
 from wisteriapulley.direct.dispatch import Dispatcher
 from wisteriapulley.direct.liveness import Liveness
-from wisteriapulley.direct.placing import Placing
 from wisteriapulley.direct.registry import Target, TargetRegistry
 from wisteriapulley.direct.settings import DirectSettings
-from wisteriapulley.direct.sidecars import CLOSED_STATE, LATER_LOAD, LIMITED_STATE
+from wisteriapulley.direct.sidecars import CLOSED_STATE, LIMITED_LOAD, LIMITED_STATE
+from wisteriapulley.direct.slot_allocation import SlotAllocator
 from wisteriapulley.direct.types import CallerRequest, Headers, Refusal, SendPlan
 from wisteriapulley.emulator.engine import EmulatedEngine, Job
 from wisteriapulley.emulator.mixes import ENGINE, MIXES, draw_sizes
@@ -123,10 +123,10 @@
     def __init__(
         self,
         status: int,
-        says: ResponseSignals,
+        signals: ResponseSignals,
         parts: AsyncIterator[bytes] | None = None,
     ):
-        self.status, self.says = status, says
+        self.status, self.signals = status, signals
         self.headers: Headers = ()
         self.length = None
         self.not_run = status == 503
@@ -178,8 +178,8 @@
         async with self.places:
             await asyncio.sleep(PLAIN_WORK_S)
         self.running -= 1
-        says = ResponseSignals(TargetLoad(self.running, 0, PLAIN_SLOTS))
-        return Answer(200, says)
+        signals = ResponseSignals(TargetLoad(self.running, 0, PLAIN_SLOTS))
+        return Answer(200, signals)
 
     async def next_event(self, queue: asyncio.Queue) -> bytes | None:
         """Return an event now and then, and None at the end."""
@@ -258,11 +258,11 @@
         }
         self.numbers = itertools.count(1)
 
-    def is_chosen(self, target: Target) -> bool:
+    def is_selected(self, target: Target) -> bool:
         """All are chosen."""
         return True
 
-    def may_be_asked(self, target: Target) -> bool:
+    def is_available(self, target: Target) -> bool:
         """Tell whether a sidecar grants anything."""
         return self.said(target).state != CLOSED_STATE
 
@@ -273,34 +273,34 @@
     def load_of(self, target: Target, now_s: float) -> Load:
         """Return an engine's load."""
         said = self.said(target)
-        later = LATER_LOAD * target.slots if said.state == LIMITED_STATE else 0.0
+        later = LIMITED_LOAD * target.slots if said.state == LIMITED_STATE else 0.0
         return Load(said.running + said.waiting + later, target.slots)
 
     def link_to(self, target: Target) -> SidecarLink | None:
         """Return the link to a target's sidecar; plain targets have none."""
         return self.links.get(target.target_id)
 
-    async def ask(
-        self, link: SidecarLink, target: Target, question: messages.Reserve
+    async def reserve(
+        self, link: SidecarLink, target: Target, reservation: messages.Reserve
     ) -> messages.Reserved:
         """Ask for a place."""
         await asyncio.sleep(HOP_S)
         number = next(self.numbers)
-        await link.granting.receive(question, link, Frame(number, 0, question))
+        await link.granting.receive(reservation, link, Frame(number, 0, reservation))
         await asyncio.sleep(HOP_S)
         return link.replies.pop(number)
 
-    def give_back(
+    def release(
         self,
         link: SidecarLink,
         request_id: str,
         outcome: SendOutcome = SendOutcome.UNKNOWN,
-        rests: bool = False,
+        cooling_down: bool = False,
     ) -> None:
         """Give a place back."""
         taken = outcome is SendOutcome.ACCEPTED
         turned_away = outcome is SendOutcome.REJECTED
-        link.post(messages.Release(request_id, taken, turned_away, rests))
+        link.post(messages.Release(request_id, taken, turned_away, cooling_down))
 
 
 class Caller:
@@ -376,23 +376,23 @@
         registry = TargetRegistry()
         identity = Identity(settings.node_id, "entry", "z", 1, b"k" * 40)
         follower = SimpleNamespace(versions=NamedVersions(), open_links=list)
-        placing = Placing(settings, identity, registry, follower)
+        allocator = SlotAllocator(settings, identity, registry, follower)
         if not self.scenario.plain:
-            placing.sidecars = VirtualSidecars(settings.node_id, self.grantings)
+            allocator.sidecars = VirtualSidecars(settings.node_id, self.grantings)
         dispatcher = Dispatcher(
             settings,
             registry,
-            placing,
+            allocator,
             VirtualClient(self.targets),
             EntryMetrics(Metrics(settings.node_id, "entry")),
-            CrashWatch(b"k" * 40, Liveness(), lambda news: None),
+            CrashTracker(b"k" * 40, Liveness(), lambda news: None),
         )
         kind = RouteKind.IDEMPOTENT if self.scenario.plain else RouteKind.STREAM
         route = Route("r", "h", "/", kind, (Split("s", 1),), 6000, 450, 1, 1, 2)
         engine = None if self.scenario.plain else ENGINE
         service = Service("s", engine=engine)
-        dispatcher.use(RoutingTable(1, (route,), (service,), ()))
-        dispatcher.know_entries(self.scenario.entries)
+        dispatcher.set_table(RoutingTable(1, (route,), (service,), ()))
+        dispatcher.set_entry_count(self.scenario.entries)
         return dispatcher
 
     # -- targets ---------------------------------------------------------
@@ -414,7 +414,7 @@
                 if not (target.turns_away and self.scenario.how == "absent")
             ]
             for entry in self.entries:
-                entry.registry.take(states, now_s)
+                entry.registry.update(states, now_s)
             await asyncio.sleep(BEAT_S)
 
     async def trouble(self) -> None:
--- a/src/wisteriapulley/control/nearest.py
+++ b/src/wisteriapulley/control/nearest.py
@@ -11,7 +11,7 @@
 
 from wisteriapulley.policy.subset import Member
 from wisteriapulley.regions import Regions
-from wisteriapulley.rendezvous import rendezvous
+from wisteriapulley.rendezvous import rendezvous_weight
 
 # Usable instances that a follower uses at the same time: the failure, stall or lag of
 # one has no effect while the other responds.
@@ -49,7 +49,7 @@
             host in last,
             not regions.same(domain, own.failure_domain),
             domain != own.failure_domain,
-            rendezvous(own.name, host),
+            rendezvous_weight(own.name, host),
         )
 
     return sorted(instances, key=distance)
--- a/src/wisteriapulley/control/rate_owner.py
+++ b/src/wisteriapulley/control/rate_owner.py
@@ -12,7 +12,7 @@
 
 from wisteriapulley.errors import WisteriapulleyError
 from wisteriapulley.policy.advertised_rate import RateLimits
-from wisteriapulley.rendezvous import rendezvous
+from wisteriapulley.rendezvous import rendezvous_weight
 from wisteriapulley.wire import Link
 from wisteriapulley.wire.messages import Passage, PassageQuery, TargetRate
 
@@ -46,7 +46,9 @@
     def owner_link(self, target: str) -> Link | None:
         """Return the link to a target's rate owner; None if this instance owns it."""
         links = self.peers()
-        owner = max((self.own, *links), key=lambda name: rendezvous(target, name))
+        owner = max(
+            (self.own, *links), key=lambda name: rendezvous_weight(target, name)
+        )
         return links.get(owner)
 
     async def answer(self, query: PassageQuery, from_entry: bool) -> Passage:
--- a/src/wisteriapulley/direct/crashes.py
+++ b/src/wisteriapulley/direct/crashes.py
@@ -17,12 +17,12 @@
 
 # A request whose target broke off waits so long for the word whether it has ended
 # before it goes to another one; a host that runs answers sooner.
-VERDICT_S = 0.03
+CRASH_CHECK_WAIT_S = 0.03
 # All requests at a target break off in the same moment: they are told in one frame.
-BATCH_S = 0.01
+UPDATE_BATCH_S = 0.01
 
 
-class CrashWatch:
+class CrashTracker:
     """Requests that were in progress at targets when these ended.
 
     Parameters
@@ -41,14 +41,14 @@
     """
 
     def __init__(
-        self, key: bytes, liveness: Liveness, tell: Callable[[SuspectNews], None]
+        self, key: bytes, liveness: Liveness, publish: Callable[[SuspectNews], None]
     ):
         self.key = key
         self.liveness = liveness
-        self.tell = tell
+        self.publish = publish
         self.suspects = CrashSuspects()
-        self.judging: set[asyncio.Task] = set()
-        self.untold: set[bytes] = set()
+        self.checks: set[asyncio.Task] = set()
+        self.unpublished: set[bytes] = set()
 
     def fingerprint(self, admitted: Admitted, progress: Progress) -> bytes:
         """Name a request, once; see `policy.fingerprint`."""
@@ -70,7 +70,7 @@
 
     # -- what happens here -----------------------------------------------
 
-    async def broke_off(
+    async def check_for_crash(
         self, admitted: Admitted, target: Target, progress: Progress
     ) -> None:
         """Find out whether a target ended under a request that broke off there.
@@ -78,23 +78,23 @@
         A target that had said that it leaves ends as planned. The word that takes
         longer than `VERDICT_S` still is taken in when it comes.
         """
-        if target.leaves:
+        if target.is_leaving:
             return
         loop = asyncio.get_running_loop()
-        task = loop.create_task(self.judge(admitted, target, progress))
-        self.judging.add(task)
-        task.add_done_callback(self.judging.discard)
-        await asyncio.wait({task}, timeout=VERDICT_S)
+        task = loop.create_task(self.record_if_crashed(admitted, target, progress))
+        self.checks.add(task)
+        task.add_done_callback(self.checks.discard)
+        await asyncio.wait({task}, timeout=CRASH_CHECK_WAIT_S)
 
-    async def judge(
+    async def record_if_crashed(
         self, admitted: Admitted, target: Target, progress: Progress
     ) -> None:
         """Note a request under which a target has ended."""
         if not await self.liveness.has_ended(target):
             return
         digest = self.fingerprint(admitted, progress)
-        record = self.suspects.record_crash(digest, target.start, steady_s())
-        self.tell_soon(digest)
+        record = self.suspects.record_crash(digest, target.incarnation, steady_s())
+        self.schedule_update(digest)
         log.warning(
             "target ended under request",
             extra=fields(
@@ -109,38 +109,38 @@
             ),
         )
 
-    def answered(self, admitted: Admitted, progress: Progress) -> None:
+    def record_answered(self, admitted: Admitted, progress: Progress) -> None:
         """Clear a request that a target answered whole."""
         if not self.suspects.records:
             return
         digest = self.fingerprint(admitted, progress)
         if self.suspects.record_answer(digest, steady_s()):
-            self.tell_soon(digest)
+            self.schedule_update(digest)
 
     # -- what others know ------------------------------------------------
 
-    def tell_soon(self, digest: bytes) -> None:
+    def schedule_update(self, digest: bytes) -> None:
         """Tell of a request, with all that changes in these milliseconds."""
-        if not self.untold:
-            asyncio.get_running_loop().call_later(BATCH_S, self.flush)
-        self.untold.add(digest)
+        if not self.unpublished:
+            asyncio.get_running_loop().call_later(UPDATE_BATCH_S, self.publish_pending)
+        self.unpublished.add(digest)
 
-    def flush(self) -> None:
+    def publish_pending(self) -> None:
         """Send what changed."""
-        changed, self.untold = self.untold, set()
-        self.tell(self.news(changed))
+        changed, self.unpublished = self.unpublished, set()
+        self.publish(self.make_update(changed))
 
-    def own_news(self) -> SuspectNews:
+    def full_update(self) -> SuspectNews:
         """Make what an instance is told that is followed from now on."""
-        return self.news(self.suspects.top_suspects())
+        return self.make_update(self.suspects.top_suspects())
 
-    def news(self, digests: Iterable[bytes]) -> SuspectNews:
+    def make_update(self, digests: Iterable[bytes]) -> SuspectNews:
         """Make the news of some requests."""
         return SuspectNews(tuple(self.suspects.updates(steady_s(), digests)))
 
-    def take(self, news: SuspectNews) -> None:
+    def apply_update(self, update: SuspectNews) -> None:
         """Take in what control instances tell."""
-        for digest in self.suspects.merge_updates(news.suspects, steady_s()):
+        for digest in self.suspects.merge_updates(update.suspects, steady_s()):
             if self.suspects.is_quarantined(digest):
                 log.warning(
                     "request quarantined", extra=fields(fingerprint=digest.hex())
--- a/src/wisteriapulley/direct/dispatch.py
+++ b/src/wisteriapulley/direct/dispatch.py
@@ -6,13 +6,13 @@
 from collections import defaultdict
 from collections.abc import Callable
 
-from wisteriapulley.direct.crashes import CrashWatch
-from wisteriapulley.direct.hearing import Hearing
-from wisteriapulley.direct.placing import Place, Placing
+from wisteriapulley.direct.crashes import CrashTracker
 from wisteriapulley.direct.progress import Admitted, Progress
 from wisteriapulley.direct.registry import TargetRegistry
 from wisteriapulley.direct.sending import Sender
 from wisteriapulley.direct.settings import DirectSettings
+from wisteriapulley.direct.signal_recorder import SignalRecorder
+from wisteriapulley.direct.slot_allocation import AllocatedSlot, SlotAllocator
 from wisteriapulley.direct.types import (
     CallerAnswer,
     CallerRequest,
@@ -32,7 +32,7 @@
 
 # A request that comes before the first routing table waits for it so long: an entry
 # that starts alone has it sooner, and the wait stays below the objectives.
-FIRST_TABLE_S = 0.3
+FIRST_TABLE_WAIT_S = 0.3
 # When to come back to an entry that has no table, or knows no target yet. Callers
 # are spread over more than this: see `policy.comeback`.
 STARTING_RETRY_S = 0.5
@@ -48,9 +48,11 @@
     RefusalKind.FAILED: ResultCode.MAY_HAVE_RUN,
     RefusalKind.TIMED_OUT: ResultCode.DEADLINE_EXCEEDED,
 }
-QUARANTINED = Refusal(RefusalKind.QUARANTINED, reason="targets end under this request")
+QUARANTINED_REFUSAL = Refusal(
+    RefusalKind.QUARANTINED, reason="targets end under this request"
+)
 # Refusals after which coming back at once would meet the same again.
-SPREAD_KINDS = frozenset({RefusalKind.OVERLOADED, RefusalKind.NOT_READY})
+SPREAD_RETRY_KINDS = frozenset({RefusalKind.OVERLOADED, RefusalKind.NOT_READY})
 
 
 class Dispatcher:
@@ -79,50 +81,50 @@
         self,
         settings: DirectSettings,
         registry: TargetRegistry,
-        placing: Placing,
+        allocator: SlotAllocator,
         client: TargetClient,
         metrics: EntryMetrics,
-        crashes: CrashWatch,
+        crashes: CrashTracker,
         is_confirmed: Callable[[], bool] = lambda: True,
     ):
         self.metrics = metrics
         self.is_confirmed = is_confirmed
         self.settings = settings
         self.registry = registry
-        self.placing = placing
+        self.allocator = allocator
         self.crashes = crashes
-        hearing = Hearing(placing.heard_rate)
+        hearing = SignalRecorder(allocator.report_rate)
         self.sender = Sender(registry, client, metrics, crashes, hearing)
         self.index: RouteIndex | None = None
         self.has_table = asyncio.Event()
-        self.budgets: dict[str, SharedRetryBudget] = {}
+        self.retry_budgets: dict[str, SharedRetryBudget] = {}
         # Of the whole fleet, as far as known.
-        self.entries = 0
+        self.entry_count = 0
         # By route.
         self.returning: defaultdict[str, RetryDetector] = defaultdict(RetryDetector)
         self.random = random.Random(settings.node_id)
 
-    def use(self, table: RoutingTable) -> None:
+    def set_table(self, table: RoutingTable) -> None:
         """Use a newer routing table."""
         self.index = RouteIndex(table)
         self.has_table.set()
 
-    def budget(self, service: str) -> SharedRetryBudget:
+    def retry_budget(self, service: str) -> SharedRetryBudget:
         """Return a service's budget of second sends."""
-        if service not in self.budgets:
-            self.budgets[service] = SharedRetryBudget(
+        if service not in self.retry_budgets:
+            self.retry_budgets[service] = SharedRetryBudget(
                 self.settings.retry_ratio,
                 self.settings.retry_slack,
                 self.settings.retry_window_s,
             )
-            self.budgets[service].update_entries(self.entries)
-        return self.budgets[service]
+            self.retry_budgets[service].update_entries(self.entry_count)
+        return self.retry_budgets[service]
 
-    def know_entries(self, entries: int) -> None:
+    def set_entry_count(self, entry_count: int) -> None:
         """Take in how many entries share the budgets."""
-        self.entries = max(self.entries, entries)
-        for budget in self.budgets.values():
-            budget.update_entries(self.entries)
+        self.entry_count = max(self.entry_count, entry_count)
+        for budget in self.retry_budgets.values():
+            budget.update_entries(self.entry_count)
 
     # -- admission -------------------------------------------------------
 
@@ -133,17 +135,17 @@
             return Refusal(RefusalKind.NOT_READY, STARTING_RETRY_S, reason)
         route = self.index.find_route(request.host, request.path)
         if route is None:
-            return self.not_in_table(RefusalKind.NO_ROUTE, "no route")
+            return self.refuse_unlisted(RefusalKind.NO_ROUTE, "no route")
         account = self.index.find_account(request.key) if request.key else None
         if account is None and self.index.table.needs_keys and not route.public:
-            return self.not_in_table(RefusalKind.BAD_KEY, "unknown key")
+            return self.refuse_unlisted(RefusalKind.BAD_KEY, "unknown key")
         # A caller that states no time, or too long a one, waits for the route's limit.
-        limit_s = min(route.timeout_ms / 1000, request.patience_s)
+        limit_s = min(route.timeout_ms / 1000, request.max_wait_s)
         arrived_s = request.arrived_s
         returned = self.returning[route.name].is_retry(limit_s, arrived_s)
         return Admitted(request, route, account, arrived_s + limit_s, returned)
 
-    def not_in_table(self, kind: RefusalKind, reason: str) -> Refusal:
+    def refuse_unlisted(self, kind: RefusalKind, reason: str) -> Refusal:
         """Refuse for good only by a table that a quorum has confirmed.
 
         Until then the table may be older than the one in force, and what it lacks
@@ -174,21 +176,21 @@
         await self.wait_for_table(request)
         admitted = self.admit(request)
         if isinstance(admitted, Refusal):
-            return self.refused(request, admitted)
+            return self.finish_refusal(request, admitted)
         service = self.choose_service(admitted.route, self.now_s())
-        self.budget(service).record_request(self.now_s())
+        self.retry_budget(service).record_request(self.now_s())
         try:
             async with asyncio.timeout_at(admitted.deadline_s):
-                refusal = await self.work(admitted, service, answer)
+                refusal = await self.send_until_answered(admitted, service, answer)
         except TimeoutError:
             refusal = Refusal(RefusalKind.TIMED_OUT, reason="time limit")
         except asyncio.CancelledError:
             log.info("caller left", extra=fields(request.request_id))
             raise
-        self.count(admitted, service, refusal)
+        self.count_result(admitted, service, refusal)
         if refusal is None:
             return None
-        if refusal.kind in SPREAD_KINDS:
+        if refusal.kind in SPREAD_RETRY_KINDS:
             self.returning[admitted.route.name].record_refusal(self.now_s())
         if answer.started:
             log.warning(
@@ -197,13 +199,13 @@
             )
             answer.cut()
             return None
-        return self.refused(request, refusal)
+        return self.finish_refusal(request, refusal)
 
     async def wait_for_table(self, request: CallerRequest) -> None:
         """Let a request wait for the first routing table, but not for long."""
         if self.index is not None:
             return
-        wait_s = min(FIRST_TABLE_S, request.patience_s)
+        wait_s = min(FIRST_TABLE_WAIT_S, request.max_wait_s)
         try:
             async with asyncio.timeout(wait_s):
                 await self.has_table.wait()
@@ -211,20 +213,22 @@
             # Refused by `admit`, which also logs it.
             return
 
-    def count(self, admitted: Admitted, service: str, refusal: Refusal | None) -> None:
+    def count_result(
+        self, admitted: Admitted, service: str, refusal: Refusal | None
+    ) -> None:
         """Count how a request ended, by account and class."""
         code = RESULT_CODES[refusal.kind] if refusal is not None else ResultCode.OK
         took_s = self.now_s() - admitted.request.arrived_s
         traffic_class = f"{service}/{admitted.route.kind.value}"
         self.metrics.record_response(admitted.account_name, traffic_class, code, took_s)
 
-    def refused(self, request: CallerRequest, refusal: Refusal) -> Refusal:
+    def finish_refusal(self, request: CallerRequest, refusal: Refusal) -> Refusal:
         """Log a refusal, and fit its time to come back to the caller's."""
         waited_s = self.now_s() - request.arrived_s
-        left_s = request.patience_s - waited_s
+        left_s = request.max_wait_s - waited_s
         retry_s = 0.0
         if refusal.retry_s:
-            spread = refusal.kind in SPREAD_KINDS
+            spread = refusal.kind in SPREAD_RETRY_KINDS
             retry_s = retry_after_s(spread, refusal.retry_s, left_s, self.random.random)
         log.info(
             "refused",
@@ -245,7 +249,7 @@
         """Return the loop's clock."""
         return asyncio.get_running_loop().time()
 
-    async def work(
+    async def send_until_answered(
         self, admitted: Admitted, service: str, answer: CallerAnswer
     ) -> Refusal | None:
         """Send to one target after another, as far as the route allows."""
@@ -253,17 +257,19 @@
         refusal: Refusal | None = None
         while progress.has_sends_left:
             if self.crashes.is_quarantined(admitted, progress):
-                return self.final(admitted, progress, QUARANTINED)
-            place = await self.next_place(admitted, progress)
+                return self.final_refusal(admitted, progress, QUARANTINED_REFUSAL)
+            place = await self.allocate_slot(admitted, progress)
             if isinstance(place, Refusal):
-                return self.final(admitted, progress, joined(refusal, place))
+                return self.final_refusal(
+                    admitted, progress, merge_refusals(refusal, place)
+                )
             if self.crashes.is_quarantined(admitted, progress):
                 # What others tell may have come while it waited for the place.
                 place.release()
-                return self.final(admitted, progress, QUARANTINED)
-            if progress.sends and not self.budget(service).spend(self.now_s()):
+                return self.final_refusal(admitted, progress, QUARANTINED_REFUSAL)
+            if progress.sends and not self.retry_budget(service).spend(self.now_s()):
                 place.release()
-                return self.final(admitted, progress, refusal)
+                return self.final_refusal(admitted, progress, refusal)
             progress.sends += 1
             self.log_placed(admitted, place, progress)
             try:
@@ -274,11 +280,13 @@
                 return None
             if progress.may_have_run and not admitted.route.repeatable:
                 break
-        return self.final(admitted, progress, refusal)
+        return self.final_refusal(admitted, progress, refusal)
 
-    def log_placed(self, admitted: Admitted, place: Place, progress: Progress) -> None:
+    def log_placed(
+        self, admitted: Admitted, slot: AllocatedSlot, progress: Progress
+    ) -> None:
         """Log where a request goes, and what decided it."""
-        target, now_s = place.target, self.now_s()
+        target, now_s = slot.target, self.now_s()
         log.info(
             "placed",
             extra=fields(
@@ -289,30 +297,32 @@
                 target=target.target_id,
                 address=target.address,
                 send=progress.sends,
-                weights=place.version,
+                weights=slot.version,
                 prompt_tokens=admitted.request.prompt_tokens,
                 answer_tokens=admitted.request.answer_tokens,
-                granted=place.granted,
+                granted=slot.granted,
                 rate=target.rate.per_s,
                 outstanding=target.outstanding,
-                heard_ms=int((now_s - target.heard_s) * 1000),
+                heard_ms=int((now_s - target.last_seen_s) * 1000),
                 waited_ms=int((now_s - admitted.request.arrived_s) * 1000),
                 returned=admitted.returned,
             ),
         )
 
-    async def next_place(
+    async def allocate_slot(
         self, admitted: Admitted, progress: Progress
-    ) -> Place | Refusal:
+    ) -> AllocatedSlot | Refusal:
         """Find a place for the next send."""
         service, now_s = progress.service, self.now_s()
         engine = self.index.services[service].engine
-        is_last = progress.is_last_send or not self.budget(service).has_budget(now_s)
-        return await self.placing.place(
+        is_last = progress.is_last_send or not self.retry_budget(service).has_budget(
+            now_s
+        )
+        return await self.allocator.allocate(
             admitted, service, engine, progress.tried, now_s, is_last
         )
 
-    def final(
+    def final_refusal(
         self, admitted: Admitted, progress: Progress, refusal: Refusal | None
     ) -> Refusal:
         """Promise that a request did not run only where that is sure."""
@@ -324,14 +334,14 @@
         return refusal
 
 
-def joined(refusal: Refusal | None, no_place: Refusal) -> Refusal:
+def merge_refusals(refusal: Refusal | None, no_slot: Refusal) -> Refusal:
     """Return the last word on a request that no further target can be found for.
 
     One that was turned away is told when there may be a place for it.
     """
     if refusal is None:
-        return no_place
-    is_full = no_place.kind is RefusalKind.OVERLOADED
+        return no_slot
+    is_full = no_slot.kind is RefusalKind.OVERLOADED
     if is_full and refusal.kind is RefusalKind.OVERLOADED:
-        return refusal._replace(retry_s=no_place.retry_s)
+        return refusal._replace(retry_s=no_slot.retry_s)
     return refusal
--- a/src/wisteriapulley/direct/events.py
+++ b/src/wisteriapulley/direct/events.py
@@ -16,30 +16,30 @@
 
     def __init__(self, last_id: str = ""):
         self.last_id = last_id
-        self.events = 0
-        self.rest = b""
+        self.event_count = 0
+        self.partial = b""
 
     def feed(self, data: bytes) -> bytes:
         """Take bytes in; return the whole events among them."""
-        data = self.rest + data
+        data = self.partial + data
         end = data.rfind(EVENT_END)
         if end < 0:
-            self.rest = data
+            self.partial = data
             return b""
-        whole, self.rest = data[: end + 2], data[end + 2 :]
+        whole, self.partial = data[: end + 2], data[end + 2 :]
         for event in whole.split(EVENT_END):
-            self.note(event)
+            self.record_event(event)
         return whole
 
-    def note(self, event: bytes) -> None:
+    def record_event(self, event: bytes) -> None:
         """Remember an event's id."""
         if not event:
             return
-        self.events += 1
+        self.event_count += 1
         for line in event.split(b"\n"):
             if line.startswith(b"id:"):
                 self.last_id = line[3:].strip().decode("latin-1")
 
-    def break_off(self) -> None:
+    def discard_partial(self) -> None:
         """Forget the part of an event that a broken stream left."""
-        self.rest = b""
+        self.partial = b""
--- a/src/wisteriapulley/direct/liveness.py
+++ b/src/wisteriapulley/direct/liveness.py
@@ -12,7 +12,7 @@
 
 # A host that runs answers a connection within a round trip; one without power, or
 # behind a cut link, never does.
-ANSWER_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 
 
 async def refuses_connections(address: str) -> bool:
@@ -25,7 +25,7 @@
     """
     try:
         listener = Address.from_text(address)
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(listener.host, listener.port)
     except ConnectionRefusedError:
         return True
@@ -49,7 +49,7 @@
 
     def __init__(self, refuses: Callable[[str], Awaitable[bool]] = refuses_connections):
         self.refuses = refuses
-        self.asking: dict[str, asyncio.Task[bool]] = {}
+        self.probes: dict[str, asyncio.Task[bool]] = {}
 
     async def has_ended(self, target: Target) -> bool:
         """Tell whether a target's process has ended.
@@ -59,10 +59,10 @@
         """
         if target.replaced:
             return True
-        task = self.asking.get(target.address)
+        task = self.probes.get(target.address)
         if task is None:
             loop = asyncio.get_running_loop()
             task = loop.create_task(self.refuses(target.address))
-            self.asking[target.address] = task
-            task.add_done_callback(lambda _: self.asking.pop(target.address, None))
+            self.probes[target.address] = task
+            task.add_done_callback(lambda _: self.probes.pop(target.address, None))
         return await asyncio.shield(task)
--- a/src/wisteriapulley/direct/progress.py
+++ b/src/wisteriapulley/direct/progress.py
@@ -72,9 +72,9 @@
         Names the request whichever attempt it comes by; empty until it is needed.
     """
 
-    def __init__(self, request: CallerRequest, service: str = "", most_sends: int = 1):
+    def __init__(self, request: CallerRequest, service: str = "", max_sends: int = 1):
         self.service = service
-        self.most_sends = max(1, most_sends)
+        self.max_sends = max(1, max_sends)
         self.sends = 0
         self.may_have_run = False
         self.tried: set[str] = set()
@@ -85,9 +85,9 @@
     @property
     def has_sends_left(self) -> bool:
         """Whether the route allows one more target."""
-        return self.sends < self.most_sends
+        return self.sends < self.max_sends
 
     @property
     def is_last_send(self) -> bool:
         """Whether the route allows no further target after the next one."""
-        return self.sends + 1 >= self.most_sends
+        return self.sends + 1 >= self.max_sends
--- a/src/wisteriapulley/direct/limited.py
+++ b/src/wisteriapulley/direct/rate_permits.py
@@ -13,16 +13,16 @@
 
 # A control instance that runs answers within two round trips; a request that is held
 # for longer loses a third of its objective.
-ASK_S = 0.15
+PERMIT_TIMEOUT_S = 0.15
 # A target at its limit is asked for again after so long at the latest: its rate may
 # have changed.
-FULL_MOST_S = 1.0
+MAX_RECHECK_S = 1.0
 # Of a stated rate that one entry lets pass while nobody who holds the limit answers:
 # a fleet of so many entries still keeps the whole.
-ALONE_SHARE = 1 / 20
+LOCAL_RATE_FRACTION = 1 / 20
 
 
-class LimitedTargets:
+class RatePermitClient:
     """Questions whether a request may pass to a target that states a rate.
 
     Parameters
@@ -33,9 +33,9 @@
 
     def __init__(self, links: Callable[[], list[Link]]):
         self.links = links
-        self.alone = RateLimits(ALONE_SHARE)
+        self.local_limits = RateLimits(LOCAL_RATE_FRACTION)
         # By start of the target: when it may be asked for again.
-        self.full_until_s: dict[str, float] = {}
+        self.at_limit_until_s: dict[str, float] = {}
 
     async def wait_s(self, target: Target, now_s: float) -> float:
         """Return how long until a request may be sent to a plain target; 0 for now.
@@ -45,47 +45,49 @@
         """
         if target.rate.per_s is None:
             return 0.0
-        full_s = self.full_s(target, now_s)
-        if full_s:
-            return full_s
-        passage = await self.ask(target, now_s)
+        at_limit_s = self.full_s(target, now_s)
+        if at_limit_s:
+            return at_limit_s
+        passage = await self.request_permit(target, now_s)
         if passage is None:
-            return self.alone_wait_s(target, now_s)
+            return self.local_wait_s(target, now_s)
         if not passage.limited and target.rate.observed_s <= now_s:
             target.rate.clear(now_s)
         if passage.granted:
             return 0.0
         wait_s = passage.wait_ms / 1000
-        self.note_full(target, wait_s, now_s)
+        self.record_at_limit(target, wait_s, now_s)
         return wait_s
 
     def full_s(self, target: Target, now_s: float) -> float:
         """Return how long a target is known to be at its limit."""
-        return max(0.0, self.full_until_s.get(target.start, now_s) - now_s)
+        return max(0.0, self.at_limit_until_s.get(target.incarnation, now_s) - now_s)
 
-    def note_full(self, target: Target, wait_s: float, now_s: float) -> None:
+    def record_at_limit(self, target: Target, wait_s: float, now_s: float) -> None:
         """Note that a target is at its limit for some time."""
-        self.full_until_s[target.start] = now_s + min(wait_s, FULL_MOST_S)
+        self.at_limit_until_s[target.incarnation] = now_s + min(wait_s, MAX_RECHECK_S)
 
-    async def ask(self, target: Target, now_s: float) -> Passage | None:
+    async def request_permit(self, target: Target, now_s: float) -> Passage | None:
         """Ask for a passage; None where nobody answers."""
         age_ms = max(0, int((now_s - target.rate.observed_s) * 1000))
-        query = PassageQuery(target.start, target.rate.per_s, age_ms)
+        query = PassageQuery(target.incarnation, target.rate.per_s, age_ms)
         for link in self.links():
             try:
-                return (await link.request(query, ASK_S)).message
+                return (await link.request(query, PERMIT_TIMEOUT_S)).message
             except WisteriapulleyError as error:
                 log.info("no passage from %s: %s", link.peer_id, error)
         return None
 
-    def alone_wait_s(self, target: Target, now_s: float) -> float:
+    def local_wait_s(self, target: Target, now_s: float) -> float:
         """Return how long until a request may pass without anybody else's word."""
-        self.alone.update(target.start, target.rate.per_s, target.rate.observed_s)
-        if self.alone.take(target.start, now_s):
+        self.local_limits.update(
+            target.incarnation, target.rate.per_s, target.rate.observed_s
+        )
+        if self.local_limits.take(target.incarnation, now_s):
             return 0.0
-        return self.alone.wait_s(target.start, now_s)
+        return self.local_limits.wait_s(target.incarnation, now_s)
 
-    def heard(self, target: Target, link: Link | None, now_s: float) -> None:
+    def report_rate(self, target: Target, link: Link | None, now_s: float) -> None:
         """Tell whoever holds a target's limit what it states now.
 
         Parameters
@@ -98,20 +100,20 @@
             The loop's clock.
         """
         holders = [link] if link is not None else self.links()[:1]
-        news = rate_news(target, now_s)
+        news = rate_update(target, now_s)
         for holder in holders:
             if not holder.closed.is_set():
                 holder.post(news)
 
     def sweep(self, now_s: float) -> None:
         """Forget targets that are long gone."""
-        self.alone.remove_expired(now_s)
-        for start, until_s in tuple(self.full_until_s.items()):
+        self.local_limits.remove_expired(now_s)
+        for start, until_s in tuple(self.at_limit_until_s.items()):
             if until_s <= now_s:
-                del self.full_until_s[start]
+                del self.at_limit_until_s[start]
 
 
-def rate_news(target: Target, now_s: float) -> TargetRate:
+def rate_update(target: Target, now_s: float) -> TargetRate:
     """Say what a target states, and how long ago that was heard."""
     age_ms = max(0, int((now_s - target.rate.observed_s) * 1000))
-    return TargetRate(target.start, target.rate.per_s or 0.0, age_ms)
+    return TargetRate(target.incarnation, target.rate.per_s or 0.0, age_ms)
--- a/src/wisteriapulley/direct/registry.py
+++ b/src/wisteriapulley/direct/registry.py
@@ -10,25 +10,25 @@
 from wisteriapulley.wire.messages import TargetBeat, TargetState
 
 # Silence after which a target counts as gone, while others are still heard of.
-SILENCE_S = 5.0
+HEARTBEAT_TIMEOUT_S = 5.0
 # Without any news for so long the control instances are away, not the targets.
-NEWS_S = 2.5
+UPDATE_TIMEOUT_S = 2.5
 # A target that said that it leaves is known for so long after it was heard last: late
 # news must not bring it back.
-LEAVING_KEPT_S = 600.0
+LEAVING_RETENTION_S = 600.0
 # A target that could not be reached is left alone for so long, then doubled.
-DOWN_FIRST_S = 0.5
-DOWN_MOST_S = 4.0
+INITIAL_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 4.0
 # Failures of a target against those of its peers: one that fails on its own more
 # often than this is set aside for a while, at most a third of a service at once.
-FAILED_SHARE = 0.35
-LEAST_SAMPLES = 4
-ASIDE_S = 3.0
-ASIDE_MOST_SHARE = 0.34
-GAIN = 0.25
+EJECTION_FAILURE_RATE = 0.35
+MIN_EJECTION_SAMPLES = 4
+EJECTION_S = 3.0
+MAX_EJECTED_FRACTION = 0.34
+FAILURE_RATE_GAIN = 0.25
 
 
-class Heard(NamedTuple):
+class SignalChanges(NamedTuple):
     """What the statements of one answer changed.
 
     Attributes
@@ -42,7 +42,7 @@
     """
 
     rate: bool
-    rest: bool
+    cooldown: bool
     leaving: bool
 
 
@@ -67,23 +67,23 @@
         Whether its answers said that it is about to end. That holds until it ends.
     """
 
-    def __init__(self, state: TargetState, heard_s: float):
+    def __init__(self, state: TargetState, seen_s: float):
         self.state = state
         self.host = host_of(state.address)
-        self.heard_s = heard_s
-        self.first_heard_s = heard_s
+        self.last_seen_s = seen_s
+        self.first_seen_s = seen_s
         self.cold_until_s = 0.0
         self.outstanding = 0
         self.slots = max(1, state.slots)
-        self.down_until_s = 0.0
-        self.down_s = DOWN_FIRST_S
-        self.failed = 0.0
+        self.unreachable_until_s = 0.0
+        self.backoff_s = INITIAL_BACKOFF_S
+        self.failure_rate = 0.0
         self.samples = 0
-        self.aside_until_s = 0.0
+        self.ejected_until_s = 0.0
         self.replaced = False
         self.rate = RateTracker()
-        self.rest = CooldownTracker()
-        self.said_leaving = False
+        self.cooldown = CooldownTracker()
+        self.announced_leaving = False
         self.breaker = CircuitBreaker()
 
     @property
@@ -92,7 +92,7 @@
         return self.state.target_id
 
     @property
-    def start(self) -> str:
+    def incarnation(self) -> str:
         """Name of this start: a target may start again under its id."""
         return f"{self.state.target_id}/{self.state.started_ms}"
 
@@ -106,37 +106,41 @@
         """Where it is."""
         return self.state.failure_domain
 
-    def take(self, state: TargetState, heard_s: float) -> None:
+    def update(self, state: TargetState, seen_s: float) -> None:
         """Take news in."""
-        self.heard_s = max(self.heard_s, heard_s)
+        self.last_seen_s = max(self.last_seen_s, seen_s)
         self.state = state
         self.host = host_of(state.address)
         self.slots = max(1, state.slots)
-        self.cold_until_s = heard_s + state.cold_ms / 1000
+        self.cold_until_s = seen_s + state.cold_ms / 1000
 
-    def sent(self, now_s: float) -> None:
+    def record_sent(self, now_s: float) -> None:
         """Note that a request goes here."""
         self.outstanding += 1
         self.breaker.record_sent(now_s)
 
-    def ended(self, sent_s: float, now_s: float, outcome: SendOutcome) -> None:
+    def record_ended(self, sent_s: float, now_s: float, outcome: SendOutcome) -> None:
         """Note that a request is here no more, and what became of it."""
         self.outstanding -= 1
-        self.breaker.record_outcome(outcome, sent_s, now_s, self.rest.wait_s(now_s) > 0)
+        self.breaker.record_outcome(
+            outcome, sent_s, now_s, self.cooldown.wait_s(now_s) > 0
+        )
 
-    def unreachable(self, now_s: float) -> None:
+    def record_unreachable(self, now_s: float) -> None:
         """Note that it could not be reached."""
-        self.down_until_s = now_s + self.down_s
-        self.down_s = min(DOWN_MOST_S, self.down_s * 2)
+        self.unreachable_until_s = now_s + self.backoff_s
+        self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * 2)
 
-    def judged(self, failed: bool) -> None:
+    def record_outcome(self, failed: bool) -> None:
         """Take in how a request ended here."""
         self.samples += 1
-        self.failed += GAIN * (failed - self.failed)
+        self.failure_rate += FAILURE_RATE_GAIN * (failed - self.failure_rate)
         if not failed:
-            self.down_s = DOWN_FIRST_S
+            self.backoff_s = INITIAL_BACKOFF_S
 
-    def hear(self, says: ResponseSignals, sent_s: float, now_s: float) -> Heard:
+    def record_signals(
+        self, signals: ResponseSignals, sent_s: float, now_s: float
+    ) -> SignalChanges:
         """Take in what an answer of this very incarnation says of it.
 
         Parameters
@@ -148,25 +152,25 @@
         now_s : float
             The loop's clock.
         """
-        if says.load is not None and says.load.slots:
-            self.slots = says.load.slots
-        leaving = says.leaving and not self.said_leaving
-        self.said_leaving |= says.leaving
-        return Heard(
-            self.rate.observe(says.rate, sent_s, now_s),
-            self.rest.observe(says.cooldown, now_s),
+        if signals.load is not None and signals.load.slots:
+            self.slots = signals.load.slots
+        leaving = signals.leaving and not self.announced_leaving
+        self.announced_leaving |= signals.leaving
+        return SignalChanges(
+            self.rate.observe(signals.rate, sent_s, now_s),
+            self.cooldown.observe(signals.cooldown, now_s),
             leaving,
         )
 
     @property
-    def leaves(self) -> bool:
+    def is_leaving(self) -> bool:
         """Whether it, or control instances, said that it ends as planned."""
-        return self.said_leaving or self.state.leaving or self.state.gone
+        return self.announced_leaving or self.state.leaving or self.state.gone
 
     @property
-    def ends(self) -> bool:
+    def is_retired(self) -> bool:
         """Whether it never takes a request again."""
-        return self.leaves or self.replaced
+        return self.is_leaving or self.replaced
 
     def wait_s(self, now_s: float, is_last: bool = False) -> float:
         """Return how long until a request may be sent here; 0 for now.
@@ -179,17 +183,19 @@
             Whether the request can't be sent again if it is turned away.
         """
         state = self.state
-        if state.leaving or state.gone or self.replaced or self.said_leaving:
+        if state.leaving or state.gone or self.replaced or self.announced_leaving:
             return float("inf")
-        until_s = max(self.down_until_s, self.aside_until_s, self.rest.until_s)
+        until_s = max(
+            self.unreachable_until_s, self.ejected_until_s, self.cooldown.until_s
+        )
         wait_s = until_s - now_s if until_s > now_s else 0.0
         if self.breaker.probe_limit:
             return max(wait_s, self.breaker.wait_s(now_s, is_last))
         return wait_s
 
-    def holds_back_s(self, now_s: float, is_last: bool = False) -> float:
+    def throttled_s(self, now_s: float, is_last: bool = False) -> float:
         """Return how long it wants no requests, or none may be tried; 0 for now."""
-        return max(self.rest.wait_s(now_s), self.breaker.wait_s(now_s, is_last))
+        return max(self.cooldown.wait_s(now_s), self.breaker.wait_s(now_s, is_last))
 
 
 class TargetRegistry:
@@ -198,15 +204,17 @@
     def __init__(self):
         self.targets: dict[str, Target] = {}
         self.by_address: dict[str, str] = {}
-        self.news_s = 0.0
+        self.last_update_s = 0.0
 
-    def take(self, states: Iterable[TargetState], now_s: float) -> None:
+    def update(self, states: Iterable[TargetState], now_s: float) -> None:
         """Take news of control instances in."""
         for state in states:
-            self.news_s = now_s
-            self.take_one(state, now_s - state.age_ms / 1000)
+            self.last_update_s = now_s
+            self.update_target(state, now_s - state.age_ms / 1000)
 
-    def take_beats(self, beats: Iterable[TargetBeat], now_s: float) -> list[str]:
+    def record_heartbeats(
+        self, heartbeats: Iterable[TargetBeat], now_s: float
+    ) -> list[str]:
         """Take in that targets were heard again.
 
         Parameters
@@ -221,17 +229,17 @@
         list of str
             Targets of which news were missed.
         """
-        self.news_s = now_s
+        self.last_update_s = now_s
         missed: list[str] = []
-        for beat in beats:
+        for beat in heartbeats:
             known = self.targets.get(beat.target_id)
             if known is not None and includes(known.state, beat):
-                known.heard_s = max(known.heard_s, now_s - beat.age_ms / 1000)
+                known.last_seen_s = max(known.last_seen_s, now_s - beat.age_ms / 1000)
             elif known is not None or not beat.gone:
                 missed.append(beat.target_id)
         return missed
 
-    def take_one(self, state: TargetState, heard_s: float) -> None:
+    def update_target(self, state: TargetState, seen_s: float) -> None:
         """Take news of one target in, unless newer ones are known."""
         known = self.targets.get(state.target_id)
         if known is not None:
@@ -239,14 +247,14 @@
                 return
             state = merge(state, known.state)
             if state.started_ms == known.state.started_ms:
-                known.take(state, heard_s)
+                known.update(state, seen_s)
                 return
-            self.forget_address(known)
-        target = Target(state, heard_s)
+            self.release_address(known)
+        target = Target(state, seen_s)
         self.targets[state.target_id] = target
-        self.place(target)
+        self.assign_address(target)
 
-    def forget_address(self, target: Target) -> None:
+    def release_address(self, target: Target) -> None:
         """Give up the address of a target that is no more, or starts again.
 
         One that starts again is judged anew: what it held, owed and failed at
@@ -255,7 +263,7 @@
         if self.by_address.get(target.address) == target.target_id:
             del self.by_address[target.address]
 
-    def place(self, target: Target) -> None:
+    def assign_address(self, target: Target) -> None:
         """Give an address to the target that was first heard of last.
 
         A late announcement of an earlier incarnation must not take the address
@@ -263,16 +271,16 @@
         """
         holder = self.targets.get(self.by_address.get(target.address, ""))
         if holder is not None and holder is not target:
-            if holder.state.gone or holder.first_heard_s <= target.first_heard_s:
+            if holder.state.gone or holder.first_seen_s <= target.first_seen_s:
                 holder.replaced = True
             else:
                 target.replaced = True
                 return
         self.by_address[target.address] = target.target_id
 
-    def other_at(self, target: Target, now_s: float) -> None:
+    def record_other_instance(self, target: Target, now_s: float) -> None:
         """Note that another incarnation answered at a target's address."""
-        target.unreachable(now_s)
+        target.record_unreachable(now_s)
 
     def of_service(self, service: str) -> Iterator[Target]:
         """Yield all targets of a service."""
@@ -292,66 +300,72 @@
         is_last : bool
             Whether the request can't be sent again if it is turned away.
         """
-        heard_s = self.heard_since_s(now_s)
+        heard_s = self.liveness_cutoff_s(now_s)
         return [
             target
             for target in self.of_service(service)
-            if target.heard_s > heard_s and not target.wait_s(now_s, is_last)
+            if target.last_seen_s > heard_s and not target.wait_s(now_s, is_last)
         ]
 
-    def heard_since_s(self, now_s: float) -> float:
+    def liveness_cutoff_s(self, now_s: float) -> float:
         """Return since when a target must have been heard to count as alive."""
-        return now_s - SILENCE_S if now_s - self.news_s < NEWS_S else float("-inf")
+        return (
+            now_s - HEARTBEAT_TIMEOUT_S
+            if now_s - self.last_update_s < UPDATE_TIMEOUT_S
+            else float("-inf")
+        )
 
-    def holds_back_s(self, service: str, now_s: float, is_last: bool = False) -> float:
+    def throttled_s(self, service: str, now_s: float, is_last: bool = False) -> float:
         """Return how long until a service whose targets hold back has one that not.
 
         0 where one takes requests now, or none holds back: those that are away may
         be back any time.
         """
-        heard_s = self.heard_since_s(now_s)
-        alive = [t for t in self.of_service(service) if t.heard_s > heard_s]
-        if not any(target.holds_back_s(now_s, is_last) for target in alive):
+        heard_s = self.liveness_cutoff_s(now_s)
+        alive = [t for t in self.of_service(service) if t.last_seen_s > heard_s]
+        if not any(target.throttled_s(now_s, is_last) for target in alive):
             return 0.0
         wait_s = min(target.wait_s(now_s, is_last) for target in alive)
         return wait_s if wait_s < float("inf") else 0.0
 
-    def judge(self, target: Target, failed: bool, now_s: float) -> None:
+    def record_outcome(self, target: Target, failed: bool, now_s: float) -> None:
         """Take in how a request ended; set a target aside that fails alone."""
-        target.judged(failed)
-        if not failed or target.samples < LEAST_SAMPLES:
+        target.record_outcome(failed)
+        if not failed or target.samples < MIN_EJECTION_SAMPLES:
             return
         peers = [t for t in self.of_service(target.state.service) if t is not target]
-        if not peers or target.failed < FAILED_SHARE:
+        if not peers or target.failure_rate < EJECTION_FAILURE_RATE:
             return
-        others = sum(t.failed for t in peers) / len(peers)
-        aside = sum(now_s < t.aside_until_s for t in peers)
-        if target.failed < 2 * others or aside + 1 > max(
-            1, ASIDE_MOST_SHARE * (len(peers) + 1)
+        others = sum(t.failure_rate for t in peers) / len(peers)
+        aside = sum(now_s < t.ejected_until_s for t in peers)
+        if target.failure_rate < 2 * others or aside + 1 > max(
+            1, MAX_EJECTED_FRACTION * (len(peers) + 1)
         ):
             return
-        target.aside_until_s = now_s + ASIDE_S
+        target.ejected_until_s = now_s + EJECTION_S
         target.samples = 0
-        target.failed = 0.0
+        target.failure_rate = 0.0
 
-    def kept_s(self, target: Target) -> float:
+    def retention_s(self, target: Target) -> float:
         """Return how long a target is known that is not heard any more."""
-        return LEAVING_KEPT_S if target.said_leaving else 4 * SILENCE_S
+        return (
+            LEAVING_RETENTION_S if target.announced_leaving else 4 * HEARTBEAT_TIMEOUT_S
+        )
 
     def sweep(self, now_s: float) -> list[Target]:
         """Forget targets that ended long ago; return them."""
         dropped = [
             target
             for target in self.targets.values()
-            if now_s - target.heard_s > self.kept_s(target)
-            and now_s - self.news_s < NEWS_S
+            if now_s - target.last_seen_s > self.retention_s(target)
+            and now_s - self.last_update_s < UPDATE_TIMEOUT_S
             and not target.outstanding
             # It may be heard again, and then is still owed its rest.
-            and not target.rest.wait_s(now_s)
+            and not target.cooldown.wait_s(now_s)
         ]
         for target in dropped:
             del self.targets[target.target_id]
-            self.forget_address(target)
+            self.release_address(target)
         return dropped
 
 
--- a/src/wisteriapulley/direct/sending.py
+++ b/src/wisteriapulley/direct/sending.py
@@ -3,11 +3,11 @@
 import asyncio
 import logging
 
-from wisteriapulley.direct.crashes import CrashWatch
-from wisteriapulley.direct.hearing import Hearing
-from wisteriapulley.direct.placing import Place
+from wisteriapulley.direct.crashes import CrashTracker
 from wisteriapulley.direct.progress import Admitted, Progress
 from wisteriapulley.direct.registry import Target, TargetRegistry
+from wisteriapulley.direct.signal_recorder import SignalRecorder
+from wisteriapulley.direct.slot_allocation import AllocatedSlot
 from wisteriapulley.direct.types import (
     BrokenAnswerError,
     CallerAnswer,
@@ -28,22 +28,22 @@
 # A target that sends no first event, or no further one, for so long is taken for
 # dead, and the stream goes on elsewhere. An engine that reads long prompts
 # pauses for some hundred milliseconds.
-STREAM_SILENCE_S = 1.6
+STREAM_IDLE_TIMEOUT_S = 1.6
 # Share of a plain request's time after which a silent target is given up for
 # another one; above the slowest ordinary work.
-PLAIN_PATIENCE_SHARE = 0.5
+HEAD_TIMEOUT_FRACTION = 0.5
 # Ordinary work takes up to so long, however short the caller's time is.
-LEAST_PATIENCE_S = 0.45
+MIN_HEAD_TIMEOUT_S = 0.45
 # Less time than this is no use to a target.
-LEAST_SEND_S = 0.05
+MIN_SEND_S = 0.05
 HTTP_OK = 200
 SERVER_ERROR = 500
-UNAVAILABLE = 503
+SERVICE_UNAVAILABLE = 503
 TOO_MANY_REQUESTS = 429
 # When to come back after a target was not reached, or did not take the request:
 # another one, or another entry, can serve it at once.
-UNREACHED_RETRY_S = 0.3
-NOT_TAKEN_RETRY_S = 0.2
+UNREACHABLE_RETRY_S = 0.3
+REJECTED_RETRY_S = 0.2
 
 
 class Sender:
@@ -68,14 +68,14 @@
         registry: TargetRegistry,
         client: TargetClient,
         metrics: EntryMetrics,
-        crashes: CrashWatch,
-        hearing: Hearing,
+        crashes: CrashTracker,
+        recorder: SignalRecorder,
     ):
         self.registry = registry
         self.client = client
         self.metrics = metrics
         self.crashes = crashes
-        self.hearing = hearing
+        self.recorder = recorder
 
     def now_s(self) -> float:
         """Return the loop's clock."""
@@ -84,7 +84,7 @@
     async def send(
         self,
         admitted: Admitted,
-        place: Place,
+        slot: AllocatedSlot,
         progress: Progress,
         answer: CallerAnswer,
     ) -> Refusal | None:
@@ -95,99 +95,107 @@
         Refusal or None
             None when the caller has its final answer.
         """
-        target = place.target
+        target = slot.target
         progress.tried.add(target.target_id)
         progress.outcome = SendOutcome.UNKNOWN
         remaining_s = admitted.deadline_s - self.now_s()
-        if remaining_s < LEAST_SEND_S:
+        if remaining_s < MIN_SEND_S:
             return Refusal(RefusalKind.TIMED_OUT, reason="no time left")
         plan = SendPlan(
             target.address,
             target.target_id,
             admitted.account_name,
             remaining_s,
-            place.version,
+            slot.version,
             progress.events.last_id,
             not admitted.route.repeatable,
         )
         sent_s = self.now_s()
         try:
-            head = await self.head(admitted, place, plan, progress)
+            response = await self.wait_for_head(admitted, slot, plan, progress)
         except NotSentError as error:
-            target.unreachable(self.now_s())
+            target.record_unreachable(self.now_s())
             reason = f"not sent: {error}"
-            return Refusal(RefusalKind.UNAVAILABLE, UNREACHED_RETRY_S, reason)
+            return Refusal(RefusalKind.UNAVAILABLE, UNREACHABLE_RETRY_S, reason)
         except (BrokenAnswerError, TimeoutError) as error:
             progress.may_have_run = True
-            self.judge_silence(place)
-            await self.crashes.broke_off(admitted, target, progress)
+            self.record_no_response(slot)
+            await self.crashes.check_for_crash(admitted, target, progress)
             return Refusal(RefusalKind.FAILED, reason=f"no answer: {error!r}")
-        if not head.other_instance:
-            progress.outcome = outcome_of(head)
-            self.hearing.hear(target, head.says, sent_s)
+        if not response.other_instance:
+            progress.outcome = outcome_of(response)
+            self.recorder.record(target, response.signals, sent_s)
         try:
-            return await self.pass_on(admitted, place, head, progress, answer)
+            return await self.relay(admitted, slot, response, progress, answer)
         finally:
-            head.close()
+            response.close()
 
-    def judge_silence(self, place: Place) -> None:
+    def record_no_response(self, slot: AllocatedSlot) -> None:
         """Note that a target broke off, unless the entry itself gave it up.
 
         One whose weights had no time left did not fail.
         """
-        if place.begins_by_s is None or self.now_s() < place.begins_by_s:
-            self.registry.judge(place.target, True, self.now_s())
+        if slot.start_deadline_s is None or self.now_s() < slot.start_deadline_s:
+            self.registry.record_outcome(slot.target, True, self.now_s())
 
-    def until_begun_s(self, place: Place, patience: float | None) -> float | None:
+    def start_timeout_s(
+        self, slot: AllocatedSlot, max_wait_s: float | None
+    ) -> float | None:
         """Return how long to wait for what shows that a request has begun.
 
         Load: engines that serve an older version of the weights until its last
         moment, one of them slower than its sidecar reckons. Harm prevented: a
         request that begins on weights after their time. It is dropped before.
         """
-        if place.begins_by_s is None:
-            return patience
-        left_s = max(0.0, place.begins_by_s - self.now_s())
-        return left_s if patience is None else min(patience, left_s)
+        if slot.start_deadline_s is None:
+            return max_wait_s
+        left_s = max(0.0, slot.start_deadline_s - self.now_s())
+        return left_s if max_wait_s is None else min(max_wait_s, left_s)
 
-    async def head(
-        self, admitted: Admitted, place: Place, plan: SendPlan, progress: Progress
+    async def wait_for_head(
+        self,
+        admitted: Admitted,
+        slot: AllocatedSlot,
+        plan: SendPlan,
+        progress: Progress,
     ) -> TargetAnswer:
         """Send, and wait for the head as long as that makes sense."""
-        patience = patience_s(admitted.route, plan.remaining_s, progress.has_sends_left)
-        async with asyncio.timeout(self.until_begun_s(place, patience)):
+        max_wait_s = head_timeout_s(
+            admitted.route, plan.remaining_s, progress.has_sends_left
+        )
+        async with asyncio.timeout(self.start_timeout_s(slot, max_wait_s)):
             return await self.client.send(admitted.request, plan)
 
-    async def pass_on(
+    async def relay(
         self,
         admitted: Admitted,
-        place: Place,
-        head: TargetAnswer,
+        slot: AllocatedSlot,
+        response: TargetAnswer,
         progress: Progress,
         answer: CallerAnswer,
     ) -> Refusal | None:
         """Pass an answer on, unless it says that another target may do better."""
-        target = place.target
-        if head.other_instance:
-            self.registry.other_at(target, self.now_s())
+        target = slot.target
+        if response.other_instance:
+            self.registry.record_other_instance(target, self.now_s())
             reason = "another instance"
-            return Refusal(RefusalKind.UNAVAILABLE, NOT_TAKEN_RETRY_S, reason)
-        if head.not_run:
-            self.log_turned_away(admitted, target, head)
-            wait_s = self.registry.holds_back_s(progress.service, self.now_s())
-            retry_s = max(NOT_TAKEN_RETRY_S, wait_s)
+            return Refusal(RefusalKind.UNAVAILABLE, REJECTED_RETRY_S, reason)
+        if response.not_run:
+            self.log_rejected(admitted, target, response)
+            wait_s = self.registry.throttled_s(progress.service, self.now_s())
+            retry_s = max(REJECTED_RETRY_S, wait_s)
             return Refusal(RefusalKind.OVERLOADED, retry_s, "target refused")
         progress.may_have_run = True
-        self.registry.judge(target, failed(head), self.now_s())
-        if failed(head) and self.may_repeat(admitted, progress, answer):
-            return Refusal(RefusalKind.FAILED, reason=f"target said {head.status}")
-        if answer.started and head.status != HTTP_OK:
-            return Refusal(RefusalKind.FAILED, reason=f"target said {head.status}")
-        if admitted.route.kind is RouteKind.STREAM and head.status == HTTP_OK:
-            return await self.stream(admitted, place, head, progress, answer)
-        return await self.whole(admitted, target, head, progress, answer)
-
-    def may_repeat(
+        self.registry.record_outcome(target, is_server_error(response), self.now_s())
+        if is_server_error(response) and self.may_retry(admitted, progress, answer):
+            return Refusal(RefusalKind.FAILED, reason=f"target said {response.status}")
+        if answer.started and response.status != HTTP_OK:
+            return Refusal(RefusalKind.FAILED, reason=f"target said {response.status}")
+        if admitted.route.kind is RouteKind.STREAM and response.status == HTTP_OK:
+            return await self.relay_stream(admitted, slot, response, progress, answer)
+        return await self.relay_buffered(admitted, target, response, progress, answer)
+
+    def may_retry(
         self, admitted: Admitted, progress: Progress, answer: CallerAnswer
     ) -> bool:
         """Tell whether a failed request may go to another target."""
@@ -196,26 +204,26 @@
             admitted.route.repeatable
             and progress.has_sends_left
             and not answer.started
-            and left_s > LEAST_SEND_S
-            and self.has_another(progress)
+            and left_s > MIN_SEND_S
+            and self.has_untried_target(progress)
         )
 
-    def has_another(self, progress: Progress) -> bool:
+    def has_untried_target(self, progress: Progress) -> bool:
         """Tell whether a request may go to a target that was not tried."""
         candidates = self.registry.candidates(progress.service, self.now_s())
         return any(target.target_id not in progress.tried for target in candidates)
 
-    def head_came(self, admitted: Admitted, target: Target) -> None:
+    def record_first_event(self, admitted: Admitted, target: Target) -> None:
         """Note the time to a stream's first event."""
         took_s = self.now_s() - admitted.request.arrived_s
         traffic_class = f"{target.state.service}/{admitted.route.kind.value}"
         self.metrics.record_first_part(admitted.account_name, traffic_class, took_s)
 
-    async def whole(
+    async def relay_buffered(
         self,
         admitted: Admitted,
         target: Target,
-        head: TargetAnswer,
+        response: TargetAnswer,
         progress: Progress,
         answer: CallerAnswer,
     ) -> Refusal | None:
@@ -224,24 +232,24 @@
         An answer that breaks off can then still be had of another target.
         """
         try:
-            body = b"".join([part async for part in head.parts()])
+            body = b"".join([part async for part in response.parts()])
         except BrokenAnswerError as error:
-            self.registry.judge(target, True, self.now_s())
-            await self.crashes.broke_off(admitted, target, progress)
+            self.registry.record_outcome(target, True, self.now_s())
+            await self.crashes.check_for_crash(admitted, target, progress)
             return Refusal(RefusalKind.FAILED, reason=f"answer broke off: {error}")
-        await answer.start(head.status, head.headers, len(body))
+        await answer.start(response.status, response.headers, len(body))
         await answer.write(body)
         await answer.finish()
-        if not failed(head):
-            self.crashes.answered(admitted, progress)
-        self.log_answered(admitted, target, head.status)
+        if not is_server_error(response):
+            self.crashes.record_answered(admitted, progress)
+        self.log_answered(admitted, target, response.status)
         return None
 
-    async def stream(
+    async def relay_stream(
         self,
         admitted: Admitted,
-        place: Place,
-        head: TargetAnswer,
+        slot: AllocatedSlot,
+        response: TargetAnswer,
         progress: Progress,
         answer: CallerAnswer,
     ) -> Refusal | None:
@@ -249,30 +257,30 @@
 
         Another target can go on behind the last whole event where this one stops.
         """
-        target, events = place.target, progress.events
+        target, events = slot.target, progress.events
         try:
-            await self.pass_events(admitted, place, head, progress, answer)
+            await self.relay_events(admitted, slot, response, progress, answer)
         except (BrokenAnswerError, TimeoutError) as error:
-            events.break_off()
-            self.judge_silence(place)
-            self.log_broken(admitted, target, events.last_id, error)
-            await self.crashes.broke_off(admitted, target, progress)
+            events.discard_partial()
+            self.record_no_response(slot)
+            self.log_broken_stream(admitted, target, events.last_id, error)
+            await self.crashes.check_for_crash(admitted, target, progress)
             return Refusal(RefusalKind.FAILED, reason="stream broke off")
-        if events.rest:
-            events.break_off()
+        if events.partial:
+            events.discard_partial()
             return Refusal(RefusalKind.FAILED, reason="stream ended within an event")
         if not answer.started:
-            await answer.start(head.status, head.headers, None)
+            await answer.start(response.status, response.headers, None)
         await answer.finish()
-        self.crashes.answered(admitted, progress)
-        self.log_answered(admitted, target, head.status, events.events)
+        self.crashes.record_answered(admitted, progress)
+        self.log_answered(admitted, target, response.status, events.event_count)
         return None
 
-    async def pass_events(
+    async def relay_events(
         self,
         admitted: Admitted,
-        place: Place,
-        head: TargetAnswer,
+        slot: AllocatedSlot,
+        response: TargetAnswer,
         progress: Progress,
         answer: CallerAnswer,
     ) -> None:
@@ -285,21 +293,21 @@
         TimeoutError
             The target fell silent.
         """
-        parts = head.parts()
-        silence_s = self.until_begun_s(place, STREAM_SILENCE_S)
+        parts = response.parts()
+        idle_timeout_s = self.start_timeout_s(slot, STREAM_IDLE_TIMEOUT_S)
         while True:
             try:
-                async with asyncio.timeout(silence_s):
+                async with asyncio.timeout(idle_timeout_s):
                     part = await anext(parts)
             except StopAsyncIteration:
                 return
-            silence_s = STREAM_SILENCE_S
+            idle_timeout_s = STREAM_IDLE_TIMEOUT_S
             whole = progress.events.feed(part)
             if not whole:
                 continue
             if not answer.started:
-                self.head_came(admitted, place.target)
-                await answer.start(head.status, head.headers, None)
+                self.record_first_event(admitted, slot.target)
+                await answer.start(response.status, response.headers, None)
             await answer.write(whole)
 
     # -- logs ------------------------------------------------------------
@@ -320,24 +328,24 @@
             ),
         )
 
-    def log_turned_away(
-        self, admitted: Admitted, target: Target, head: TargetAnswer
+    def log_rejected(
+        self, admitted: Admitted, target: Target, response: TargetAnswer
     ) -> None:
         """Log that a target did not run a request, and what it said of itself."""
-        says = head.says
+        signals = response.signals
         log.info(
             "target turned a request away",
             extra=fields(
                 admitted.request.request_id,
                 target=target.target_id,
-                status=head.status,
-                rest_s=says.cooldown.seconds,
-                leaving=says.leaving,
-                load=says.load,
+                status=response.status,
+                rest_s=signals.cooldown.seconds,
+                leaving=signals.leaving,
+                load=signals.load,
             ),
         )
 
-    def log_broken(
+    def log_broken_stream(
         self, admitted: Admitted, target: Target, last_event: str, error: Exception
     ) -> None:
         """Log that a target's stream ended early."""
@@ -352,23 +360,28 @@
         )
 
 
-def failed(head: TargetAnswer) -> bool:
+def is_server_error(response: TargetAnswer) -> bool:
     """Tell whether a target answers that it failed."""
-    return head.status >= SERVER_ERROR
+    return response.status >= SERVER_ERROR
 
 
-def outcome_of(head: TargetAnswer) -> SendOutcome:
+def outcome_of(response: TargetAnswer) -> SendOutcome:
     """Tell what a target did with a request.
 
     Other refusals are for the request's sake, and tell nothing of the target.
     """
-    busy = head.not_run and head.status in (UNAVAILABLE, TOO_MANY_REQUESTS)
-    if busy or head.says.cooldown.seconds:
+    busy = response.not_run and response.status in (
+        SERVICE_UNAVAILABLE,
+        TOO_MANY_REQUESTS,
+    )
+    if busy or response.signals.cooldown.seconds:
         return SendOutcome.REJECTED
-    return SendOutcome.UNKNOWN if head.not_run else SendOutcome.ACCEPTED
+    return SendOutcome.UNKNOWN if response.not_run else SendOutcome.ACCEPTED
 
 
-def patience_s(route: Route, remaining_s: float, has_sends_left: bool) -> float | None:
+def head_timeout_s(
+    route: Route, remaining_s: float, has_sends_left: bool
+) -> float | None:
     """Return how long to wait for a head; None for as long as the request has.
 
     A silent target is given up early only where another one may be asked: the
@@ -378,7 +391,7 @@
     if not route.repeatable:
         return None
     if route.kind is RouteKind.STREAM:
-        return STREAM_SILENCE_S
+        return STREAM_IDLE_TIMEOUT_S
     if not has_sends_left:
         return None
-    return max(LEAST_PATIENCE_S, remaining_s * PLAIN_PATIENCE_SHARE)
+    return max(MIN_HEAD_TIMEOUT_S, remaining_s * HEAD_TIMEOUT_FRACTION)
--- a/src/wisteriapulley/direct/service.py
+++ b/src/wisteriapulley/direct/service.py
@@ -7,12 +7,12 @@
 import aiomisc
 
 from wisteriapulley.control.following import ControlFollower
-from wisteriapulley.direct.crashes import CrashWatch
+from wisteriapulley.direct.crashes import CrashTracker
 from wisteriapulley.direct.dispatch import Dispatcher
 from wisteriapulley.direct.liveness import Liveness
-from wisteriapulley.direct.placing import Placing
 from wisteriapulley.direct.registry import TargetRegistry
 from wisteriapulley.direct.settings import DirectSettings
+from wisteriapulley.direct.slot_allocation import SlotAllocator
 from wisteriapulley.direct.types import TargetClient
 from wisteriapulley.entry.metrics import EntryMetrics
 from wisteriapulley.http_server import HttpServer
@@ -24,9 +24,9 @@
 
 log = logging.getLogger(__name__)
 
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 # Balancers ask once a second and take an instance out after two misses.
-LEAVE_S = 2.6
+BALANCER_REMOVAL_S = 2.6
 
 
 class DirectEntryService(aiomisc.Service):
@@ -54,11 +54,15 @@
         )
         self.follower.on_table = self.table_changed
         self.follower.on_targets = self.targets_changed
-        self.follower.on_heartbeats = self.targets_heard
-        self.crashes = CrashWatch(self.identity.key, Liveness(), self.follower.publish)
-        self.follower.on_suspects = self.crashes.take
-        self.follower.own_suspects = self.crashes.own_news
-        self.placing = Placing(settings, self.identity, self.registry, self.follower)
+        self.follower.on_heartbeats = self.record_heartbeats
+        self.crashes = CrashTracker(
+            self.identity.key, Liveness(), self.follower.publish
+        )
+        self.follower.on_suspects = self.crashes.apply_update
+        self.follower.own_suspects = self.crashes.full_update
+        self.allocator = SlotAllocator(
+            settings, self.identity, self.registry, self.follower
+        )
         self.metrics = Metrics(settings.node_id, "entry")
         self.http = HttpServer(self.metrics, self.is_ready)
         self.lines_lost = self.metrics.gauge(
@@ -70,7 +74,7 @@
         self.dispatcher = Dispatcher(
             settings,
             self.registry,
-            self.placing,
+            self.allocator,
             client,
             EntryMetrics(self.metrics),
             self.crashes,
@@ -78,14 +82,14 @@
         )
         self.ingress = new_ingress(self.dispatcher.serve, EdgeLimits().body_bytes)
         self.leaving = False
-        self.sweeping: asyncio.Task | None = None
+        self.sweep_task: asyncio.Task | None = None
 
     async def start(self) -> None:
         """Follow control instances, and listen."""
         self.follower.start()
         await self.http.start(self.settings.http_listen)
         await self.ingress.start(self.settings.listen)
-        self.sweeping = asyncio.get_running_loop().create_task(self.sweep())
+        self.sweep_task = asyncio.get_running_loop().create_task(self.sweep())
 
     def meet_hosts(self, hosts: Iterable[str]) -> None:
         """Follow control instances that new settings name."""
@@ -103,42 +107,44 @@
         """Let callers go elsewhere, finish what is in progress, and close."""
         self.leaving = True
         log.info("stopping", extra=fields(in_progress=len(self.ingress.active)))
-        await self.ingress.drain(LEAVE_S, self.settings.drain_ms / 1000)
-        self.sweeping.cancel()
+        await self.ingress.drain(BALANCER_REMOVAL_S, self.settings.drain_ms / 1000)
+        self.sweep_task.cancel()
         await self.ingress.stop()
         await self.http.stop()
-        await self.placing.stop()
+        await self.allocator.stop()
         await self.follower.stop()
 
     def table_changed(self, table: RoutingTable) -> None:
         """Use a newer routing table."""
-        self.dispatcher.use(table)
+        self.dispatcher.set_table(table)
         self.ingress.most_body_bytes = table.limits.body_bytes
         self.keep_links()
 
     def targets_changed(self, states: Iterable[messages.TargetState]) -> None:
         """Take news of targets in."""
-        self.registry.take(states, asyncio.get_running_loop().time())
+        self.registry.update(states, asyncio.get_running_loop().time())
         self.keep_links()
 
-    def targets_heard(self, beats: Iterable[messages.TargetBeat]) -> list[str]:
+    def record_heartbeats(self, heartbeats: Iterable[messages.TargetBeat]) -> list[str]:
         """Take in that targets were heard again; return those not known so."""
-        return self.registry.take_beats(beats, asyncio.get_running_loop().time())
+        return self.registry.record_heartbeats(
+            heartbeats, asyncio.get_running_loop().time()
+        )
 
     def keep_links(self) -> None:
         """Keep links to sidecars of all model services."""
-        self.placing.sidecars.keep_links(self.follower.table.engines())
+        self.allocator.sidecars.keep_links(self.follower.table.engines())
 
     async def sweep(self) -> None:
         """Forget targets that ended."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.lines_lost.set({}, lines_lost())
             self.crashes.sweep()
-            self.dispatcher.know_entries(self.follower.entries_reported())
-            self.placing.limited.sweep(loop.time())
+            self.dispatcher.set_entry_count(self.follower.entries_reported())
+            self.allocator.rate_permits.sweep(loop.time())
             self.quarantined.set({}, len(self.crashes.suspects.quarantined()))
             if self.registry.sweep(loop.time()):
                 self.keep_links()
-            await self.placing.sidecars.drop_links()
+            await self.allocator.sidecars.drop_links()
--- a/src/wisteriapulley/direct/hearing.py
+++ b/src/wisteriapulley/direct/signal_recorder.py
@@ -11,10 +11,10 @@
 log = logging.getLogger(__name__)
 
 # Characters of a target's text that a log line shows.
-SHOWN = 40
+MAX_LOGGED_CHARS = 40
 
 
-class Hearing:
+class SignalRecorder:
     """Statements of all targets that an entry sends to.
 
     Parameters
@@ -23,49 +23,49 @@
         Called with a target and the time, when it states a rate or none any more.
     """
 
-    def __init__(self, heard_rate: Callable[[Target, float], None]):
-        self.heard_rate = heard_rate
+    def __init__(self, report_rate: Callable[[Target, float], None]):
+        self.report_rate = report_rate
 
-    def hear(self, target: Target, says: ResponseSignals, sent_s: float) -> None:
+    def record(self, target: Target, signals: ResponseSignals, sent_s: float) -> None:
         """Take in what an answer of a target says of it; log what changes."""
         now_s = asyncio.get_running_loop().time()
         known_per_s = target.rate.per_s
-        heard = target.hear(says, sent_s, now_s)
+        heard = target.record_signals(signals, sent_s, now_s)
         if heard.rate:
-            self.heard_rate(target, now_s)
+            self.report_rate(target, now_s)
         if target.rate.per_s != known_per_s:
             log.info(
                 "target states a rate",
                 extra=fields(target=target.target_id, per_s=target.rate.per_s),
             )
-        if heard.rest:
+        if heard.cooldown:
             log.info(
                 "target asks for rest",
-                extra=fields(target=target.target_id, rest_s=says.cooldown.seconds),
+                extra=fields(target=target.target_id, rest_s=signals.cooldown.seconds),
             )
         if heard.leaving:
             log.info("target says it leaves", extra=fields(target=target.target_id))
-        self.log_unreadable(target, says)
+        self.log_unreadable(target, signals)
 
-    def log_unreadable(self, target: Target, says: ResponseSignals) -> None:
+    def log_unreadable(self, target: Target, signals: ResponseSignals) -> None:
         """Log what can't be read, once for each target."""
-        if target.rate.is_first_invalid(says.rate):
+        if target.rate.is_first_invalid(signals.rate):
             log.warning(
                 "rate can't be read",
                 extra=fields(
                     target=target.target_id,
                     expected="a decimal number of requests a second",
-                    got=says.rate.invalid_text[:SHOWN],
+                    got=signals.rate.invalid_text[:MAX_LOGGED_CHARS],
                     kept_per_s=target.rate.per_s,
                 ),
             )
-        if target.rest.is_first_invalid(says.cooldown):
+        if target.cooldown.is_first_invalid(signals.cooldown):
             log.warning(
                 "rest can't be read",
                 extra=fields(
                     target=target.target_id,
                     expected="a decimal number of seconds, or a date",
-                    got=says.cooldown.invalid_text[:SHOWN],
-                    taken_s=says.cooldown.seconds,
+                    got=signals.cooldown.invalid_text[:MAX_LOGGED_CHARS],
+                    taken_s=signals.cooldown.seconds,
                 ),
             )
--- a/src/wisteriapulley/direct/placing.py
+++ b/src/wisteriapulley/direct/slot_allocation.py
@@ -8,8 +8,8 @@
 
 from wisteriapulley.clocks import steady_s
 from wisteriapulley.control.following import ControlFollower
-from wisteriapulley.direct.limited import LimitedTargets
 from wisteriapulley.direct.progress import Admitted
+from wisteriapulley.direct.rate_permits import RatePermitClient
 from wisteriapulley.direct.registry import Target, TargetRegistry
 from wisteriapulley.direct.settings import DirectSettings
 from wisteriapulley.direct.sidecars import Sidecars
@@ -24,35 +24,35 @@
 log = logging.getLogger(__name__)
 
 # Sidecars that a request asks in turn before it is refused.
-MOST_ASKED = 6
+MAX_SIDECARS_ASKED = 6
 # Requests of one entry at an engine whose sidecar does not answer: few, since
 # nobody counts what the other entries send there.
-UNGUARDED = 2
+MAX_WITHOUT_SIDECAR = 2
 # A request that is already late may wait for a place for so long in any case, and
 # longer while its answer still can be whole in the caller's time.
-LATE_WAIT_MS = 400.0
+MIN_LATE_WAIT_MS = 400.0
 # An engine in use reads other prompts for about as long as it writes: an answer takes
 # twice the time of its own decode steps.
-RUN_STEPS = 2
+DECODE_TIME_FACTOR = 2
 # Added to the priority of one that is late: those still in time go first.
-LATE_PRIORITY = 100
+LATE_PRIORITY_OFFSET = 100
 # Left of an objective for the way there and back, and for what the estimate of
 # the first event misses: requests admitted to the last millisecond come late. On
 # the emulator, six engines at 1.2 times the peak: 0.64 in time without, 0.75 with it.
-TRANSIT_MS = 130.0
+LATENCY_MARGIN_MS = 130.0
 DEFAULT_RETRY_S = 0.25
 # Milliseconds before a replaced version's time ends at which nothing more is sent
 # without a sidecar's estimate: a request begins with its first token, not when it is
 # sent, and the first token takes most of an objective where an engine is busy.
-UNGUARDED_MARGIN_MS = 900.0
+WITHOUT_SIDECAR_MARGIN_MS = 900.0
 # Milliseconds before that end at which a request that has not begun is dropped: the
 # close takes some milliseconds to its target, more where a link is narrow, and the
 # word of the newer version took as long to come here.
-DROP_MARGIN_MS = 100.0
+VERSION_END_MARGIN_MS = 100.0
 
 
 # Ends a request's place; told what its target did with it.
-Release = Callable[[SendOutcome], None]
+ReleaseSlot = Callable[[SendOutcome], None]
 
 
 class Urgency(NamedTuple):
@@ -63,12 +63,12 @@
     late: bool
 
 
-class Place(NamedTuple):
+class AllocatedSlot(NamedTuple):
     """A target that a request may be sent to now; `version` 0 is any.
 
     Attributes
     ----------
-    begins_by_s : float or None
+    start_deadline_s : float or None
         When its first event must have come, on the loop's clock, since the
         version's time ends then.
     granted : bool
@@ -77,8 +77,8 @@
 
     target: Target
     version: int
-    release: Release
-    begins_by_s: float | None = None
+    release: ReleaseSlot
+    start_deadline_s: float | None = None
     granted: bool = False
 
 
@@ -96,23 +96,23 @@
     """
 
     def __init__(self):
-        self.others = 0
+        self.counted = 0
         self.full_s: list[float] = []
         self.limited_s: list[float] = []
 
-    def held_back(self, wait_s: float) -> None:
+    def add_throttled(self, wait_s: float) -> None:
         """Take in that a target lets no request pass for a time, infinite for ever."""
         if wait_s < float("inf"):
             self.limited_s.append(wait_s)
 
-    def add(self, answer: messages.Reserved | None) -> None:
+    def add(self, reserved: messages.Reserved | None) -> None:
         """Take in an answer; None from a sidecar that gave none."""
-        if answer is not None and answer.limited:
-            self.limited_s.append(answer.retry_ms / 1000)
+        if reserved is not None and reserved.limited:
+            self.limited_s.append(reserved.retry_ms / 1000)
             return
-        self.others += 1
-        if answer is not None and not answer.closed:
-            self.full_s.append(answer.retry_ms / 1000)
+        self.counted += 1
+        if reserved is not None and not reserved.closed:
+            self.full_s.append(reserved.retry_ms / 1000)
 
     @property
     def retry_s(self) -> float:
@@ -124,7 +124,7 @@
         return min(self.full_s or self.limited_s or (DEFAULT_RETRY_S,))
 
 
-class Placing:
+class SlotAllocator:
     """Places of all targets that an entry knows.
 
     Parameters
@@ -150,8 +150,8 @@
         self.registry = registry
         self.follower = follower
         self.sidecars = Sidecars(settings, identity, registry)
-        self.limited = LimitedTargets(follower.open_links)
-        self.around = EntryLocation(
+        self.rate_permits = RatePermitClient(follower.open_links)
+        self.surroundings = EntryLocation(
             settings.failure_domain, Regions(settings.failure_domain_regions)
         )
         self.random = random.Random(identity.node_id)
@@ -160,7 +160,7 @@
         """Close all links."""
         await self.sidecars.stop()
 
-    async def place(
+    async def allocate(
         self,
         admitted: Admitted,
         service: str,
@@ -168,7 +168,7 @@
         tried: set[str],
         now_s: float,
         is_last: bool = False,
-    ) -> Place | Refusal:
+    ) -> AllocatedSlot | Refusal:
         """Find a place for a request, or say at once that there is none.
 
         `is_last` says that it can't be sent again if its target turns it away.
@@ -179,16 +179,16 @@
             if target.target_id not in tried
         ]
         if not targets:
-            return self.no_target(service, tried, now_s, is_last)
+            return self.refuse_without_target(service, tried, now_s, is_last)
         if engine is None:
-            return await self.place_plain(targets, now_s, is_last)
-        return await self.place_engine(admitted, engine, targets, now_s, is_last)
+            return await self.allocate_plain(targets, now_s, is_last)
+        return await self.allocate_engine(admitted, engine, targets, now_s, is_last)
 
-    def no_target(
+    def refuse_without_target(
         self, service: str, tried: set[str], now_s: float, is_last: bool
     ) -> Refusal:
         """Say that no target takes a request now, and when one may again."""
-        wait_s = self.registry.holds_back_s(service, now_s, is_last)
+        wait_s = self.registry.throttled_s(service, now_s, is_last)
         if wait_s:
             return Refusal(RefusalKind.OVERLOADED, wait_s, "targets hold back")
         kind = RefusalKind.UNAVAILABLE if tried else RefusalKind.NOT_READY
@@ -198,113 +198,115 @@
         """Return the loop's clock."""
         return asyncio.get_running_loop().time()
 
-    def booked(
+    def occupy(
         self,
         target: Target,
         version: int,
-        release: Release | None = None,
-        begins_by_s: float | None = None,
-    ) -> Place:
+        release: ReleaseSlot | None = None,
+        start_deadline_s: float | None = None,
+    ) -> AllocatedSlot:
         """Count a request at a target until it is released."""
         sent_s = self.now_s()
-        target.sent(sent_s)
+        target.record_sent(sent_s)
 
-        def give_back(outcome: SendOutcome = SendOutcome.UNKNOWN) -> None:
-            target.ended(sent_s, self.now_s(), outcome)
+        def end_request(outcome: SendOutcome = SendOutcome.UNKNOWN) -> None:
+            target.record_ended(sent_s, self.now_s(), outcome)
             if release is not None:
                 release(outcome)
 
         granted = release is not None
-        return Place(target, version, give_back, begins_by_s, granted)
+        return AllocatedSlot(target, version, end_request, start_deadline_s, granted)
 
     # -- plain targets ---------------------------------------------------
 
-    async def place_plain(
+    async def allocate_plain(
         self, targets: list[Target], now_s: float, is_last: bool
-    ) -> Place | Refusal:
+    ) -> AllocatedSlot | Refusal:
         """Take the least loaded plain target whose stated rate allows it."""
         order = rank_targets(
-            targets, plain_load, self.around, self.random.random, now_s
+            targets, plain_load, self.surroundings, self.random.random, now_s
         )
         waits_s: list[float] = []
         for target in order:
             if target.outstanding >= target.slots:
                 continue
-            wait_s = await self.limited.wait_s(target, now_s)
+            wait_s = await self.rate_permits.wait_s(target, now_s)
             # What the target said to others may have come meanwhile.
             wait_s = max(wait_s, target.wait_s(self.now_s(), is_last))
             if not wait_s:
-                return self.booked(target, 0)
+                return self.occupy(target, 0)
             if wait_s < float("inf"):
                 waits_s.append(wait_s)
         if waits_s:
             return Refusal(RefusalKind.OVERLOADED, min(waits_s), "targets hold back")
         return Refusal(RefusalKind.OVERLOADED, DEFAULT_RETRY_S, "targets full")
 
-    def heard_rate(self, target: Target, now_s: float) -> None:
+    def report_rate(self, target: Target, now_s: float) -> None:
         """Tell whoever holds a target's limit what it states now."""
-        self.limited.heard(target, self.sidecars.link_to(target), now_s)
+        self.rate_permits.report_rate(target, self.sidecars.link_to(target), now_s)
 
     # -- engines ---------------------------------------------------------
 
-    async def place_engine(
+    async def allocate_engine(
         self,
         admitted: Admitted,
         engine: Engine,
         targets: list[Target],
         now_s: float,
         is_last: bool,
-    ) -> Place | Refusal:
+    ) -> AllocatedSlot | Refusal:
         """Ask sidecars in turn for a place."""
         denials = Denials()
-        for target in self.engines_in_order(targets, now_s):
+        for target in self.eligible_engines(targets, now_s):
             wait_s = max(
-                self.limited.full_s(target, now_s),
+                self.rate_permits.full_s(target, now_s),
                 target.wait_s(self.now_s(), is_last),
             )
             if wait_s:
-                denials.held_back(wait_s)
+                denials.add_throttled(wait_s)
                 continue
-            if denials.others == MOST_ASKED:
+            if denials.counted == MAX_SIDECARS_ASKED:
                 break
             link = self.sidecars.link_to(target)
             if link is None:
-                place = self.place_unguarded(target, engine)
+                place = self.allocate_without_sidecar(target, engine)
                 if place is not None:
                     return place
-                denials.others += 1
+                denials.counted += 1
                 continue
-            question = self.question(admitted, engine, target, is_last)
-            answer = await self.sidecars.ask(link, target, question)
+            reservation = self.make_reservation(admitted, engine, target, is_last)
+            answer = await self.sidecars.reserve(link, target, reservation)
             if answer is not None and answer.granted:
                 wait_s = target.wait_s(self.now_s(), is_last)
                 if not wait_s:
-                    return self.granted(link, admitted.request, target, engine, answer)
+                    return self.use_grant(
+                        link, admitted.request, target, engine, answer
+                    )
                 # The engine's word to this instance came after its sidecar's.
-                self.sidecars.give_back(link, admitted.request.request_id)
-                denials.held_back(wait_s)
+                self.sidecars.release(link, admitted.request.request_id)
+                denials.add_throttled(wait_s)
                 continue
             denials.add(answer)
             if answer is not None and answer.limited:
-                self.limited.note_full(target, answer.retry_ms / 1000, now_s)
+                self.rate_permits.record_at_limit(target, answer.retry_ms / 1000, now_s)
         return Refusal(RefusalKind.OVERLOADED, denials.retry_s, "no place in time")
 
-    def engines_in_order(self, targets: list[Target], now_s: float) -> list[Target]:
+    def eligible_engines(self, targets: list[Target], now_s: float) -> list[Target]:
         """Return the engines whose sidecars may grant a place, the best one first."""
-        able = (
+        eligible = (
             target
             for target in targets
-            if self.sidecars.is_chosen(target) and self.sidecars.may_be_asked(target)
+            if self.sidecars.is_selected(target) and self.sidecars.is_available(target)
         )
         return rank_targets(
-            able,
+            eligible,
             lambda target: self.sidecars.load_of(target, now_s),
-            self.around,
+            self.surroundings,
             self.random.random,
             now_s,
         )
 
-    def question(
+    def make_reservation(
         self, admitted: Admitted, engine: Engine, target: Target, is_last: bool
     ) -> messages.Reserve:
         """Make the question for a place, by the time that is left now.
@@ -314,57 +316,61 @@
         comes late in a place that another would have used in time.
         """
         now_s = self.now_s()
-        wish = urgency(admitted, engine, now_s)
+        urgency = urgency_of(admitted, engine, now_s)
         request = admitted.request
         return messages.Reserve(
             request.request_id,
             request.prompt_tokens,
             request.answer_tokens,
-            wish.priority,
-            int(wish.wait_ms),
-            target.start,
-            late=wish.late,
+            urgency.priority,
+            int(urgency.wait_ms),
+            target.incarnation,
+            late=urgency.late,
             is_last=is_last,
         )
 
-    def granted(
+    def use_grant(
         self,
         link: Link,
         request: CallerRequest,
         target: Target,
         engine: Engine,
         answer: messages.Reserved,
-    ) -> Place | Refusal:
+    ) -> AllocatedSlot | Refusal:
         """Use a granted place, if its version of the weights still may serve."""
 
-        def give_back(outcome: SendOutcome = SendOutcome.UNKNOWN) -> None:
-            rests = target.rest.wait_s(self.now_s()) > 0
-            self.sidecars.give_back(link, request.request_id, outcome, rests)
+        def release(outcome: SendOutcome = SendOutcome.UNKNOWN) -> None:
+            cooling_down = target.cooldown.wait_s(self.now_s()) > 0
+            self.sidecars.release(link, request.request_id, outcome, cooling_down)
 
-        left_ms = self.left_ms(engine.model, answer.version)
+        left_ms = self.version_left_ms(engine.model, answer.version)
         if left_ms is None:
-            return self.booked(target, answer.version, give_back)
-        if left_ms <= DROP_MARGIN_MS:
-            give_back()
+            return self.occupy(target, answer.version, release)
+        if left_ms <= VERSION_END_MARGIN_MS:
+            release()
             return Refusal(RefusalKind.UNAVAILABLE, DEFAULT_RETRY_S, "old weights")
         now_s = self.now_s()
-        begins_by_s = now_s + (left_ms - DROP_MARGIN_MS) / 1000
-        return self.booked(target, answer.version, give_back, begins_by_s)
+        start_deadline_s = now_s + (left_ms - VERSION_END_MARGIN_MS) / 1000
+        return self.occupy(target, answer.version, release, start_deadline_s)
 
-    def place_unguarded(self, target: Target, engine: Engine) -> Place | None:
+    def allocate_without_sidecar(
+        self, target: Target, engine: Engine
+    ) -> AllocatedSlot | None:
         """Use an engine without its sidecar, for few requests at once."""
         version = target.state.version
-        if target.outstanding >= UNGUARDED or not version:
+        if target.outstanding >= MAX_WITHOUT_SIDECAR or not version:
             return None
-        left_ms = self.left_ms(engine.model, version)
-        if left_ms is not None and left_ms <= UNGUARDED_MARGIN_MS:
+        left_ms = self.version_left_ms(engine.model, version)
+        if left_ms is not None and left_ms <= WITHOUT_SIDECAR_MARGIN_MS:
             return None
         now_s = self.now_s()
-        if target.rate.per_s is not None and self.limited.alone_wait_s(target, now_s):
+        if target.rate.per_s is not None and self.rate_permits.local_wait_s(
+            target, now_s
+        ):
             return None
-        return self.booked(target, version)
+        return self.occupy(target, version)
 
-    def left_ms(self, model: str, version: int) -> float | None:
+    def version_left_ms(self, model: str, version: int) -> float | None:
         """Return how long requests may begin on a version; None without an end."""
         replaced_s = self.follower.versions.replaced_at(model, version)
         if replaced_s is None:
@@ -377,7 +383,7 @@
     return Load(target.outstanding, target.slots)
 
 
-def urgency(admitted: Admitted, engine: Engine, now_s: float) -> Urgency:
+def urgency_of(admitted: Admitted, engine: Engine, now_s: float) -> Urgency:
     """Return how long the first event may take, and the rank of a request.
 
     Load: callers that were refused come back, while new ones come too. One
@@ -386,9 +392,11 @@
     """
     request, priority = admitted.request, admitted.priority
     waited_ms = (now_s - request.arrived_s) * 1000
-    left_ms = admitted.route.latency_ms - waited_ms - TRANSIT_MS
+    left_ms = admitted.route.latency_ms - waited_ms - LATENCY_MARGIN_MS
     if left_ms > 0 and not admitted.returned:
         return Urgency(left_ms, priority, False)
-    run_ms = RUN_STEPS * request.answer_tokens * engine.step_ms
-    rest_ms = request.patience_s * 1000 - waited_ms - TRANSIT_MS - run_ms
-    return Urgency(max(LATE_WAIT_MS, rest_ms), priority + LATE_PRIORITY, True)
+    run_ms = DECODE_TIME_FACTOR * request.answer_tokens * engine.step_ms
+    rest_ms = request.max_wait_s * 1000 - waited_ms - LATENCY_MARGIN_MS - run_ms
+    return Urgency(
+        max(MIN_LATE_WAIT_MS, rest_ms), priority + LATE_PRIORITY_OFFSET, True
+    )
--- a/src/wisteriapulley/direct/types.py
+++ b/src/wisteriapulley/direct/types.py
@@ -48,7 +48,7 @@
     body: bytes
     key: str
     arrived_s: float
-    patience_s: float
+    max_wait_s: float
     prompt_tokens: int = 0
     answer_tokens: int = 0
     resume_after: str = ""
@@ -154,7 +154,7 @@
     length: int | None
     not_run: bool
     other_instance: bool
-    says: ResponseSignals
+    signals: ResponseSignals
 
     def parts(self) -> AsyncIterator[bytes]:
         """Yield the body as it comes.
--- a/src/wisteriapulley/emulator/fleet.py
+++ b/src/wisteriapulley/emulator/fleet.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from wisteriapulley.direct.placing import (
-    LATE_PRIORITY,
-    LATE_WAIT_MS,
-    MOST_ASKED,
-    TRANSIT_MS,
+from wisteriapulley.direct.slot_allocation import (
+    LATE_PRIORITY_OFFSET,
+    LATENCY_MARGIN_MS,
+    MAX_SIDECARS_ASKED,
+    MIN_LATE_WAIT_MS,
 )
 from wisteriapulley.emulator.engine import EmulatedEngine, Job
 from wisteriapulley.emulator.mixes import ENGINE, MIXES, RequestKind, draw_sizes
@@ -83,10 +83,10 @@
     change_s: float = 10.0
     download_ms: float = 4450.0
     superseded_ms: float = 8000.0
-    margin_ms: float = TRANSIT_MS
+    margin_ms: float = LATENCY_MARGIN_MS
     max_overrun_ms: float = 800.0
     extra_slots: int = 1
-    max_asked: int = MOST_ASKED
+    max_asked: int = MAX_SIDECARS_ASKED
     deprioritize_late: bool = True
     spread_retries: bool = True
     max_wait_spread: float = 0.15
@@ -257,8 +257,8 @@
             "entry",
             request.prompt,
             request.expected * ENGINE.stride,
-            LATE_PRIORITY if late else 1,
-            LATE_WAIT_MS if late else remaining_ms,
+            LATE_PRIORITY_OFFSET if late else 1,
+            MIN_LATE_WAIT_MS if late else remaining_ms,
             late and self.scenario.deprioritize_late,
         )
 
--- a/src/wisteriapulley/entry/targets.py
+++ b/src/wisteriapulley/entry/targets.py
@@ -8,7 +8,7 @@
 from wisteriapulley.control.client import ControlClient
 from wisteriapulley.errors import RequestError, ResultCode
 from wisteriapulley.policy import TargetView
-from wisteriapulley.rendezvous import rendezvous
+from wisteriapulley.rendezvous import rendezvous_weight
 from wisteriapulley.settings import Address, EntrySettings
 from wisteriapulley.wire import Link, messages
 from wisteriapulley.wire.handshake import Identity
@@ -174,7 +174,7 @@
                 services.setdefault(member.service, []).append(member)
         own_id = self.settings.node_id
         for members in services.values():
-            members.sort(key=lambda m: rendezvous(own_id, m.node_id))
+            members.sort(key=lambda m: rendezvous_weight(own_id, m.node_id))
             for member in members[: self.settings.links_per_service]:
                 yield member.node_id, member
 
--- a/src/wisteriapulley/platform/target_client.py
+++ b/src/wisteriapulley/platform/target_client.py
@@ -59,7 +59,7 @@
         told = response.headers.get(names.NOT_RUN, "")
         self.other_instance = response.status == names.OTHER_INSTANCE_STATUS
         self.not_run = bool(told) or self.other_instance
-        self.says = parse_statements(response.status, response.headers)
+        self.signals = parse_statements(response.status, response.headers)
 
     def belongs_to(self, request_id: str) -> bool:
         """Tell whether the answer names the request; refusals need not."""
--- a/src/wisteriapulley/policy/subset.py
+++ b/src/wisteriapulley/policy/subset.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from wisteriapulley.regions import Regions
-from wisteriapulley.rendezvous import rendezvous
+from wisteriapulley.rendezvous import rendezvous_weight
 
 
 class Member(NamedTuple):
@@ -65,7 +65,7 @@
         members,
         key=lambda member: (
             member.failure_domain != own.failure_domain,
-            rendezvous(own.name, member.name),
+            rendezvous_weight(own.name, member.name),
         ),
     )
     same_region = [
--- a/src/wisteriapulley/rendezvous.py
+++ b/src/wisteriapulley/rendezvous.py
@@ -7,6 +7,6 @@
 from blake3 import blake3
 
 
-def rendezvous(name: str, member: str) -> bytes:
+def rendezvous_weight(name: str, member: str) -> bytes:
     """Weigh a member for a name; members are ranked by their weights."""
     return blake3(f"{name}/{member}".encode()).digest()
--- a/src/wisteriapulley/rollout/state.py
+++ b/src/wisteriapulley/rollout/state.py
@@ -64,7 +64,7 @@
 
     def update_targets(self, states: Iterable[messages.TargetState]) -> None:
         """Record the other engines, which the switch order depends on."""
-        self.targets.take(states, asyncio.get_running_loop().time())
+        self.targets.update(states, asyncio.get_running_loop().time())
 
     def switch_rank(self) -> SwitchRank:
         """Return this engine's position in the switch order."""
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -6,7 +6,7 @@
 
 from tests.test_direct_dispatch import FakeAnswer
 from tests.test_engine_slots import ENGINE, slot_request
-from tests.test_statements import registry_of
+from tests.test_response_signals import registry_of
 from wisteriapulley.direct.sending import outcome_of
 from wisteriapulley.policy.circuit_breaker import (
     ACCEPTED_AFTER_S,
@@ -160,7 +160,11 @@
             (503, {}, ACCEPTED),
             (503, {"not_run": True}, REJECTED),
             (429, {"not_run": True}, REJECTED),
-            (503, {"says": ResponseSignals(cooldown=RequestedCooldown(1.0))}, REJECTED),
+            (
+                503,
+                {"signals": ResponseSignals(cooldown=RequestedCooldown(1.0))},
+                REJECTED,
+            ),
             # Refused for a property of the request itself.
             (400, {"not_run": True}, UNKNOWN),
         ],
@@ -174,10 +178,10 @@
         registry = registry_of("a", "b")
         target = registry.targets["a"]
         for number in range(2):
-            target.sent(1.0 + number)
-            target.ended(1.0 + number, 1.5 + number, REJECTED)
+            target.record_sent(1.0 + number)
+            target.record_ended(1.0 + number, 1.5 + number, REJECTED)
         assert [t.target_id for t in registry.candidates("s", 2.5)] == ["b"]
-        assert registry.holds_back_s("s", 2.5) == 0.0
+        assert registry.throttled_s("s", 2.5) == 0.0
         assert len(registry.candidates("s", 2.6)) == 2
         assert target.outstanding == 0
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.test_direct_dispatch import FakeAnswer, events, serve, watch
-from wisteriapulley.direct.crashes import BATCH_S, CrashWatch
+from wisteriapulley.direct.crashes import UPDATE_BATCH_S, CrashTracker
 from wisteriapulley.direct.liveness import Liveness
 from wisteriapulley.direct.progress import Admitted, Progress
 from wisteriapulley.direct.registry import Target
@@ -27,7 +27,7 @@
 
 
 def broke_off(crashes, request, at):
-    return crashes.broke_off(request, at, Progress(request.request))
+    return crashes.check_for_crash(request, at, Progress(request.request))
 
 
 def target(number=1, **more):
@@ -39,7 +39,7 @@
     return [r for r in caplog.records if r.message == "target ended under request"]
 
 
-class TestCrashWatch:
+class TestCrashTracker:
     def test_names_the_same_request_of_two_attempts(self, caplog):
         async def run():
             crashes = watch(ended=True)
@@ -73,7 +73,7 @@
 
         async def run():
             crashes = watch(ended=True)
-            crashes.tell = told.append
+            crashes.publish = told.append
             ended = target()
             await asyncio.gather(
                 *(
@@ -81,7 +81,7 @@
                     for number in range(16)
                 )
             )
-            await asyncio.sleep(3 * BATCH_S)
+            await asyncio.sleep(3 * UPDATE_BATCH_S)
 
         asyncio.run(run())
         (news,) = told
@@ -92,12 +92,12 @@
 
         async def run():
             crashes = watch(ended=True)
-            crashes.tell = told.append
+            crashes.publish = told.append
             request = admitted()
             await broke_off(crashes, request, target())
-            await asyncio.sleep(3 * BATCH_S)
-            crashes.answered(request, Progress(request.request))
-            await asyncio.sleep(3 * BATCH_S)
+            await asyncio.sleep(3 * UPDATE_BATCH_S)
+            crashes.record_answered(request, Progress(request.request))
+            await asyncio.sleep(3 * UPDATE_BATCH_S)
 
         asyncio.run(run())
         blamed, cleared = (news.suspects[0] for news in told)
@@ -123,11 +123,11 @@
                 await late.wait()
                 return True
 
-            crashes = CrashWatch(b"k" * 40, Liveness(refuses), lambda news: None)
+            crashes = CrashTracker(b"k" * 40, Liveness(refuses), lambda news: None)
             await broke_off(crashes, admitted(), target())
             assert not crashes.suspects.records
             late.set()
-            await asyncio.gather(*crashes.judging)
+            await asyncio.gather(*crashes.checks)
             assert len(crashes.suspects.records) == 1
 
         asyncio.run(run())
--- a/tests/test_direct_dispatch.py
+++ b/tests/test_direct_dispatch.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from wisteriapulley.direct.crashes import CrashWatch
+from wisteriapulley.direct.crashes import CrashTracker
 from wisteriapulley.direct.dispatch import Dispatcher
 from wisteriapulley.direct.liveness import Liveness
-from wisteriapulley.direct.placing import Place
 from wisteriapulley.direct.registry import TargetRegistry
-from wisteriapulley.direct.sending import patience_s
+from wisteriapulley.direct.sending import head_timeout_s
 from wisteriapulley.direct.settings import DirectSettings
+from wisteriapulley.direct.slot_allocation import AllocatedSlot
 from wisteriapulley.direct.types import (
     BrokenAnswerError,
     CallerRequest,
@@ -54,7 +54,7 @@
         self.chunks, self.breaks = parts, breaks
         self.not_run = said.get("not_run", False)
         self.other_instance = said.get("other_instance", False)
-        self.says = said.get("says", ResponseSignals())
+        self.signals = said.get("signals", ResponseSignals())
         self.closed = False
 
     async def parts(self):
@@ -82,27 +82,27 @@
         return answer
 
 
-class FakePlacing:
+class FakeAllocator:
     """Gives targets in turn that were not tried."""
 
-    def __init__(self, registry, begins_in_s=None):
+    def __init__(self, registry, starts_in_s=None):
         self.registry = registry
-        self.begins_in_s = begins_in_s
+        self.starts_in_s = starts_in_s
         self.out = 0
         self.rates = []
 
-    async def place(self, admitted, service, engine, tried, now_s, is_last=False):
+    async def allocate(self, admitted, service, engine, tried, now_s, is_last=False):
         for target in self.registry.candidates(service, now_s):
             if target.target_id not in tried:
                 self.out += 1
-                by_s = now_s + self.begins_in_s if self.begins_in_s else None
-                return Place(target, 1, self.give_back, by_s)
+                by_s = now_s + self.starts_in_s if self.starts_in_s else None
+                return AllocatedSlot(target, 1, self.give_back, by_s)
         return Refusal(RefusalKind.UNAVAILABLE, 0.25, "no target")
 
     def give_back(self, outcome=None):
         self.out -= 1
 
-    def heard_rate(self, target, now_s):
+    def report_rate(self, target, now_s):
         self.rates.append((target.target_id, target.rate.per_s))
 
 
@@ -134,7 +134,7 @@
     async def refuses(address):
         return ended
 
-    return CrashWatch(b"k" * 40, Liveness(refuses), lambda news: None)
+    return CrashTracker(b"k" * 40, Liveness(refuses), lambda news: None)
 
 
 def events(first, last):
@@ -147,7 +147,7 @@
     resumable=True,
     attempts=2,
     targets=3,
-    begins_in_s=None,
+    starts_in_s=None,
     ended=False,
     crashes=None,
 ):
@@ -156,20 +156,20 @@
         "r", "h", "/", kind, (Split("s", 1),), 6000, 400, 400, 1, attempts
     )._replace(resumable=resumable)
     registry = TargetRegistry()
-    registry.take(
+    registry.update(
         [
             TargetState(f"i-{n}", "s", f"10.0.0.{n}:80", "z", sequence=1, slots=4)
             for n in range(targets)
         ],
         0.0,
     )
-    registry.news_s = 0.0
-    placing = FakePlacing(registry, begins_in_s)
+    registry.last_update_s = 0.0
+    allocator = FakeAllocator(registry, starts_in_s)
     client, caller = FakeClient(*answers), FakeCaller()
     dispatcher = Dispatcher(
         SETTINGS,
         registry,
-        placing,
+        allocator,
         client,
         EntryMetrics(Metrics("e", "entry")),
         crashes or watch(ended),
@@ -185,7 +185,7 @@
         return await dispatcher.serve(request, caller)
 
     refusal = asyncio.run(run())
-    assert placing.out == 0
+    assert allocator.out == 0
     return refusal, caller, client
 
 
@@ -201,7 +201,7 @@
     """A slow engine: the first event would come after its weights' time."""
 
     def serve(self, *answers):
-        return serve(*answers, begins_in_s=0.05)
+        return serve(*answers, starts_in_s=0.05)
 
     def test_request_that_has_not_begun_is_dropped(self):
         first = SilentAnswer()
@@ -227,7 +227,7 @@
     dispatcher = Dispatcher(
         SETTINGS,
         registry,
-        FakePlacing(registry),
+        FakeAllocator(registry),
         None,
         EntryMetrics(Metrics("e", "entry")),
         watch(),
@@ -390,7 +390,7 @@
         return Dispatcher(
             SETTINGS,
             registry,
-            FakePlacing(registry),
+            FakeAllocator(registry),
             FakeClient(),
             EntryMetrics(Metrics("e", "entry")),
             watch(),
@@ -408,7 +408,7 @@
             dispatcher = self.dispatcher()
             asking = asyncio.create_task(self.ask(dispatcher))
             await asyncio.sleep(0)
-            dispatcher.use(RoutingTable(1))
+            dispatcher.set_table(RoutingTable(1))
             return await asking
 
         assert asyncio.run(run()).kind is RefusalKind.NO_ROUTE
@@ -431,7 +431,7 @@
 class TestPatience:
     def patience_s(self, has_sends_left, kind=RouteKind.IDEMPOTENT):
         route = Route("r", "h", "/", kind, (Split("s", 1),), 6000, 400, 400, 1)
-        return patience_s(route, 1.0, has_sends_left)
+        return head_timeout_s(route, 1.0, has_sends_left)
 
     def test_last_send_has_all_of_the_time(self):
         assert self.patience_s(has_sends_left=False) is None
--- a/tests/test_direct_events.py
+++ b/tests/test_direct_events.py
@@ -22,12 +22,12 @@
             at += size
         assert passed == STREAM
         assert splitter.last_id == "29"
-        assert splitter.rest == b""
+        assert splitter.partial == b""
 
     def test_broken_event_is_not_passed_on(self):
         splitter = EventSplitter()
         assert splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
-        splitter.break_off()
+        splitter.discard_partial()
         assert splitter.last_id == "1"
         assert splitter.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -8,8 +8,8 @@
 from tests.fakes.plain import PlainTarget
 from tests.fakes.platform import EVENTS
 from tests.plain_fleet import Fleet
-from tests.test_rest import insist
-from tests.test_statements import registry_of, state_of
+from tests.test_cooldown import insist
+from tests.test_response_signals import registry_of, state_of
 from wisteriapulley.policy.response_signals import ResponseSignals
 from wisteriapulley.rollout.engine import EngineReport
 
@@ -126,22 +126,22 @@
     def test_no_later_word_ends_it(self):
         registry = registry_of("a", "b")
         target = registry.targets["a"]
-        assert target.hear(LEAVES, 0.9, 1.0).leaving
-        assert not target.hear(LEAVES, 1.0, 1.1).leaving
-        target.hear(ResponseSignals(), 1.2, 1.3)
-        registry.take([state_of("a", sequence=2), state_of("b", sequence=2)], 2.0)
+        assert target.record_signals(LEAVES, 0.9, 1.0).leaving
+        assert not target.record_signals(LEAVES, 1.0, 1.1).leaving
+        target.record_signals(ResponseSignals(), 1.2, 1.3)
+        registry.update([state_of("a", sequence=2), state_of("b", sequence=2)], 2.0)
         assert [t.target_id for t in registry.candidates("s", 2.0)] == ["b"]
 
     def test_sweep_does_not_forget_it(self):
         registry = registry_of("a")
-        registry.targets["a"].hear(LEAVES, 0.9, 1.0)
-        registry.news_s = 40.0
+        registry.targets["a"].record_signals(LEAVES, 0.9, 1.0)
+        registry.last_update_s = 40.0
         registry.sweep(40.0)
-        registry.take([state_of("a", sequence=2)], 40.0)
+        registry.update([state_of("a", sequence=2)], 40.0)
         assert registry.candidates("s", 40.0) == []
 
     def test_later_start_does_not_leave(self):
         registry = registry_of("a")
-        registry.targets["a"].hear(LEAVES, 0.9, 1.0)
-        registry.take([state_of("a", sequence=0, started_ms=2)], 2.0)
+        registry.targets["a"].record_signals(LEAVES, 0.9, 1.0)
+        registry.update([state_of("a", sequence=0, started_ms=2)], 2.0)
         assert [t.target_id for t in registry.candidates("s", 2.0)] == ["a"]
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -11,7 +11,7 @@
 from tests.test_engine_slots import ENGINE, open_slots, slot_request
 from tests.test_slot_admission import EntryLink, make_admission, reserve
 from wisteriapulley.control.rate_owner import RateOwner
-from wisteriapulley.direct.limited import LimitedTargets
+from wisteriapulley.direct.rate_permits import RatePermitClient
 from wisteriapulley.direct.registry import Target
 from wisteriapulley.errors import ResultCode, WireError
 from wisteriapulley.policy.advertised_rate import BURST_S, RETENTION_S, RateLimits
@@ -340,7 +340,7 @@
                 return next(replies)
 
             link = Holder(decide if answers else None)
-            limited = LimitedTargets(lambda: [link])
+            limited = RatePermitClient(lambda: [link])
             target = limited_target()
             waits_s = [await limited.wait_s(target, now_s) for now_s in times_s]
             return waits_s, link.asked, target
@@ -349,7 +349,7 @@
 
     def test_target_without_a_rate_is_not_asked_for(self):
         async def run():
-            limited = LimitedTargets(list)
+            limited = RatePermitClient(list)
             return await limited.wait_s(limited_target(per_s=None), 1.0)
 
         assert asyncio.run(run()) == 0.0
@@ -376,9 +376,9 @@
     def test_sidecar_is_told_before_any_other(self):
         async def run():
             control, sidecar = Holder(), WrittenLink("sidecar")
-            limited = LimitedTargets(lambda: [control])
-            limited.heard(limited_target(), sidecar, 0.5)
-            limited.heard(limited_target(None), None, 0.5)
+            limited = RatePermitClient(lambda: [control])
+            limited.report_rate(limited_target(), sidecar, 0.5)
+            limited.report_rate(limited_target(None), None, 0.5)
             return control.taken, sidecar.taken
 
         control, sidecar = asyncio.run(run())
--- a/tests/test_statements.py
+++ b/tests/test_response_signals.py
@@ -7,16 +7,12 @@
 from multidict import CIMultiDict
 
 from tests.test_direct_dispatch import SETTINGS, FakeAnswer, events, serve
-from tests.test_placing import ENGINE, IDENTITY, ROUTE, FakeSidecars
-from wisteriapulley.direct.placing import Place, Placing
+from tests.test_slot_allocation import ENGINE, IDENTITY, ROUTE, FakeSidecars
 from wisteriapulley.direct.progress import Admitted
 from wisteriapulley.direct.registry import TargetRegistry
+from wisteriapulley.direct.slot_allocation import AllocatedSlot, SlotAllocator
 from wisteriapulley.direct.types import CallerRequest, Refusal, RefusalKind
-from wisteriapulley.platform.statements import (
-    MOST_REST_S,
-    parse_rest,
-    parse_statements,
-)
+from wisteriapulley.platform.statements import MOST_REST_S, parse_rest, parse_statements
 from wisteriapulley.policy.response_signals import (
     CooldownTracker,
     RequestedCooldown,
@@ -81,11 +77,11 @@
             "Retry-After": "3",
             "Server-Leaving": "1",
         }
-        says = parse_statements(503, CIMultiDict(headers))
-        assert says.load == TargetLoad(3, 0, 8)
-        assert says.rate.per_s == 1.5
-        assert says.cooldown.seconds == 3.0
-        assert says.leaving
+        signals = parse_statements(503, CIMultiDict(headers))
+        assert signals.load == TargetLoad(3, 0, 8)
+        assert signals.rate.per_s == 1.5
+        assert signals.cooldown.seconds == 3.0
+        assert signals.leaving
 
     def test_answer_that_says_nothing(self):
         assert parse_statements(200, CIMultiDict()) == ResponseSignals()
@@ -101,8 +97,8 @@
         self, caplog
     ):
         caplog.set_level("INFO")
-        says = ResponseSignals(cooldown=RequestedCooldown(3.0))
-        away = FakeAnswer(status=503, not_run=True, says=says)
+        signals = ResponseSignals(cooldown=RequestedCooldown(3.0))
+        away = FakeAnswer(status=503, not_run=True, signals=signals)
         serve(away, FakeAnswer([events(1, 2)]))
         (line,) = [
             r for r in caplog.records if r.message == "target turned a request away"
@@ -135,7 +131,7 @@
 
 def registry_of(*names, now_s=0.0):
     registry = TargetRegistry()
-    registry.take([state_of(name) for name in names], now_s)
+    registry.update([state_of(name) for name in names], now_s)
     return registry
 
 
@@ -152,38 +148,38 @@
     def test_news_of_control_instances_end_no_rest(self):
         registry = registry_of("a")
         target = registry.targets["a"]
-        target.hear(self.REST, 0.9, 1.0)
-        registry.take([state_of("a", sequence=2)], 2.0)
-        target.hear(ResponseSignals(), 0.8, 2.0)
+        target.record_signals(self.REST, 0.9, 1.0)
+        registry.update([state_of("a", sequence=2)], 2.0)
+        target.record_signals(ResponseSignals(), 0.8, 2.0)
         assert registry.candidates("s", 3.0) == []
         assert target.wait_s(3.0) == 28.0
 
     def test_later_start_is_owed_nothing(self):
         registry = registry_of("a")
-        registry.targets["a"].hear(self.REST, 0.9, 1.0)
-        registry.take([state_of("a", sequence=0, started_ms=2)], 2.0)
+        registry.targets["a"].record_signals(self.REST, 0.9, 1.0)
+        registry.update([state_of("a", sequence=0, started_ms=2)], 2.0)
         assert [t.target_id for t in registry.candidates("s", 2.0)] == ["a"]
 
     def test_sweep_does_not_forget_a_rest(self):
         registry = registry_of("a")
-        registry.targets["a"].hear(self.REST, 0.9, 1.0)
-        registry.news_s = 25.0
+        registry.targets["a"].record_signals(self.REST, 0.9, 1.0)
+        registry.last_update_s = 25.0
         assert registry.sweep(25.0) == []
-        registry.take([state_of("a", sequence=2)], 25.0)
+        registry.update([state_of("a", sequence=2)], 25.0)
         assert registry.candidates("s", 26.0) == []
-        registry.news_s = 60.0
+        registry.last_update_s = 60.0
         assert [t.target_id for t in registry.sweep(60.0)] == ["a"]
 
     def test_service_tells_when_its_first_rest_ends(self):
         registry = registry_of("a", "b", "c")
         a, b, c = registry.targets.values()
-        a.hear(self.REST, 0.9, 1.0)
-        assert registry.holds_back_s("s", 1.0) == 0.0
-        b.hear(ResponseSignals(cooldown=RequestedCooldown(3.0)), 0.9, 1.0)
+        a.record_signals(self.REST, 0.9, 1.0)
+        assert registry.throttled_s("s", 1.0) == 0.0
+        b.record_signals(ResponseSignals(cooldown=RequestedCooldown(3.0)), 0.9, 1.0)
         c.state = c.state._replace(leaving=True)
-        assert registry.holds_back_s("s", 1.5) == 2.5
+        assert registry.throttled_s("s", 1.5) == 2.5
         b.state = b.state._replace(gone=True)
-        assert registry.holds_back_s("s", 1.5) == 29.5
+        assert registry.throttled_s("s", 1.5) == 29.5
 
 
 class TestLastMoment:
@@ -194,50 +190,50 @@
 
         async def run():
             registry = registry_of("a", "b")
-            placing = Placing(
+            allocator = SlotAllocator(
                 SETTINGS,
                 IDENTITY,
                 registry,
                 SimpleNamespace(versions=NamedVersions(), open_links=list),
             )
-            given_back = []
+            released = []
 
             class Granting(FakeSidecars):
-                async def ask(self, link, target, question):
-                    if len(self.questions) < rests:
+                async def reserve(self, link, target, reservation):
+                    if len(self.reservations) < rests:
                         now_s = asyncio.get_running_loop().time()
-                        target.hear(
+                        target.record_signals(
                             ResponseSignals(cooldown=RequestedCooldown(3.0)),
                             now_s,
                             now_s,
                         )
-                    return await super().ask(link, target, question)
+                    return await super().reserve(link, target, reservation)
 
-                def give_back(self, link, request_id, *outcome):
-                    given_back.append(request_id)
+                def release(self, link, request_id, *outcome):
+                    released.append(request_id)
 
-            placing.sidecars = Granting(*[messages.Reserved(True, 1)] * 2)
+            allocator.sidecars = Granting(*[messages.Reserved(True, 1)] * 2)
             now_s = asyncio.get_running_loop().time()
-            registry.take([state_of(n, sequence=2) for n in "ab"], now_s)
+            registry.update([state_of(n, sequence=2) for n in "ab"], now_s)
             request = CallerRequest(
                 "q", "POST", "/", "h", "/", (), b"", "", now_s, 5.4, 900, 90
             )
             admitted = Admitted(request, ROUTE, None, now_s + 5.4)
-            placed = await placing.place(admitted, "s", ENGINE, set(), now_s)
-            return placed, given_back, registry
+            placed = await allocator.allocate(admitted, "s", ENGINE, set(), now_s)
+            return placed, released, registry
 
         return asyncio.run(run())
 
     def test_place_is_given_back_and_another_engine_asked(self):
-        placed, given_back, registry = self.placed(rests=1)
-        assert isinstance(placed, Place)
-        assert given_back == ["q"]
-        assert not registry.targets[placed.target.target_id].rest.until_s > 0
+        placed, released, registry = self.placed(rests=1)
+        assert isinstance(placed, AllocatedSlot)
+        assert released == ["q"]
+        assert not registry.targets[placed.target.target_id].cooldown.until_s > 0
 
     def test_without_another_engine_the_end_of_the_rest_is_told(self):
-        placed, given_back, _ = self.placed(rests=2)
+        placed, released, _ = self.placed(rests=2)
         assert isinstance(placed, Refusal)
-        assert given_back == ["q", "q"]
+        assert released == ["q", "q"]
         assert 2.0 < placed.retry_s <= 3.0
 
 
@@ -245,7 +241,7 @@
     REST = ResponseSignals(cooldown=RequestedCooldown(1.2))
 
     def away(self):
-        return FakeAnswer(status=503, not_run=True, says=self.REST)
+        return FakeAnswer(status=503, not_run=True, signals=self.REST)
 
     def test_no_second_send_where_all_rest(self):
         refusal, _, client = serve(self.away(), targets=1)
@@ -260,14 +256,14 @@
 
     def test_word_without_the_promise_that_it_did_not_run_counts(self):
         """A failure is passed on, and the target left alone all the same."""
-        failed = FakeAnswer(status=503, says=self.REST)
+        failed = FakeAnswer(status=503, signals=self.REST)
         refusal, caller, client = serve(failed, targets=1)
         assert refusal is None and caller.status == 503
 
     def test_other_instance_asks_for_nothing(self, caplog):
         caplog.set_level("INFO")
         other = FakeAnswer(
-            status=421, other_instance=True, not_run=True, says=self.REST
+            status=421, other_instance=True, not_run=True, signals=self.REST
         )
         serve(other, FakeAnswer([events(1, 2)]))
         assert not [r for r in caplog.records if r.message == "target asks for rest"]
--- a/tests/test_sidecars.py
+++ b/tests/test_sidecars.py
@@ -12,7 +12,7 @@
 from wisteriapulley.wire.handshake import Identity
 from wisteriapulley.wire.messages import TargetState
 
-QUESTION = messages.Reserve("r", 100, 50, 1, 400)
+RESERVATION = messages.Reserve("r", 100, 50, 1, 400)
 GRANT = messages.Reserved(True, 1)
 QUEUED = messages.Reserved(queued=True)
 IDENTITY = Identity("e", "entry", "z", 1, b"k" * 40)
@@ -74,7 +74,7 @@
 def play(scenario, **link):
     async def run():
         registry = TargetRegistry()
-        registry.take([state("i-1")], 0.0)
+        registry.update([state("i-1")], 0.0)
         sidecars = Sidecars(SETTINGS, IDENTITY, registry)
         fake = FakeLink(**link)
         sidecars.keepers["10.0.0.1"] = FakeKeeper(fake)
@@ -89,19 +89,19 @@
 
         async def scenario(sidecars, link, registry):
             target = registry.targets["i-1"]
-            assert sidecars.may_be_asked(target)
-            assert await sidecars.ask(link, target, QUESTION) is None
+            assert sidecars.is_available(target)
+            assert await sidecars.reserve(link, target, RESERVATION) is None
             assert link.posted == [messages.Release("r")]
-            assert not sidecars.may_be_asked(target)
-            assert sidecars.asked["10.0.0.1"] == 0
+            assert not sidecars.is_available(target)
+            assert sidecars.pending["10.0.0.1"] == 0
             link.heard()
-            assert sidecars.may_be_asked(target)
+            assert sidecars.is_available(target)
 
         play(scenario)
 
     def test_verdict_is_waited_for_where_the_request_stands_in_a_queue(self):
         async def scenario(sidecars, link, registry):
-            answer = await sidecars.ask(link, registry.targets["i-1"], QUESTION)
+            answer = await sidecars.reserve(link, registry.targets["i-1"], RESERVATION)
             assert answer == GRANT
 
         play(scenario, queued_s=0.01, answer_s=2 * MAX_WAIT_S)
@@ -110,7 +110,10 @@
         """Over a narrow link old heartbeats come while the question still waits."""
 
         async def scenario(sidecars, link, registry):
-            assert await sidecars.ask(link, registry.targets["i-1"], QUESTION) is None
+            assert (
+                await sidecars.reserve(link, registry.targets["i-1"], RESERVATION)
+                is None
+            )
             assert link.posted == [messages.Release("r")]
 
         play(scenario, alive_s=0.01, answer_s=2 * MAX_WAIT_S)
@@ -120,7 +123,7 @@
 
         async def scenario(sidecars, link, registry):
             target = registry.targets["i-1"]
-            asking = asyncio.create_task(sidecars.ask(link, target, QUESTION))
+            asking = asyncio.create_task(sidecars.reserve(link, target, RESERVATION))
             await asyncio.sleep(0)
             closed = WireError(ResultCode.LINK_CLOSED, "sidecar")
             link.calls[1].replies.put_nowait(closed)
@@ -134,7 +137,7 @@
 
         async def scenario(sidecars, link, registry):
             target = registry.targets["i-1"]
-            await sidecars.ask(link, target, QUESTION)
+            await sidecars.reserve(link, target, RESERVATION)
             load = sidecars.load_of(target, now_s())
             assert load.outstanding > load.slots
 
@@ -143,12 +146,12 @@
     def test_caller_that_left_gives_its_place_back(self):
         async def scenario(sidecars, link, registry):
             target = registry.targets["i-1"]
-            asking = asyncio.create_task(sidecars.ask(link, target, QUESTION))
+            asking = asyncio.create_task(sidecars.reserve(link, target, RESERVATION))
             await asyncio.sleep(0)
             asking.cancel()
             await asyncio.gather(asking, return_exceptions=True)
             assert link.posted == [messages.Release("r")]
-            assert sidecars.may_be_asked(target)
+            assert sidecars.is_available(target)
 
         play(scenario)
 
@@ -156,7 +159,7 @@
         async def scenario(sidecars, link, registry):
             target = registry.targets["i-1"]
             link.peer_heartbeat = messages.Heartbeat(state=OPENING_STATE)
-            assert sidecars.may_be_asked(target)
+            assert sidecars.is_available(target)
             assert sidecars.load_of(target, now_s()).outstanding >= target.slots
 
         play(scenario)
--- a/tests/test_placing.py
+++ b/tests/test_slot_allocation.py
@@ -4,9 +4,9 @@
 from types import SimpleNamespace
 
 from tests.test_direct_dispatch import SETTINGS
-from wisteriapulley.direct.placing import Placing
 from wisteriapulley.direct.progress import Admitted
 from wisteriapulley.direct.registry import TargetRegistry
+from wisteriapulley.direct.slot_allocation import SlotAllocator
 from wisteriapulley.direct.types import CallerRequest, Refusal
 from wisteriapulley.policy.target_ranking import Load
 from wisteriapulley.routing import Engine, Route, RouteKind, Split
@@ -28,12 +28,12 @@
     def __init__(self, *verdicts, verdict_s=0.0):
         self.verdicts = list(verdicts)
         self.verdict_s = verdict_s
-        self.questions = []
+        self.reservations = []
 
-    def is_chosen(self, target):
+    def is_selected(self, target):
         return True
 
-    def may_be_asked(self, target):
+    def is_available(self, target):
         return True
 
     def load_of(self, target, now_s):
@@ -42,12 +42,12 @@
     def link_to(self, target):
         return SimpleNamespace(peer_id=target.host)
 
-    async def ask(self, link, target, question):
-        self.questions.append(question)
+    async def reserve(self, link, target, reservation):
+        self.reservations.append(reservation)
         await asyncio.sleep(self.verdict_s)
         return self.verdicts.pop(0)
 
-    def give_back(self, link, request_id, *outcome):
+    def release(self, link, request_id, *outcome):
         pass
 
 
@@ -61,15 +61,15 @@
             TargetState(f"i-{n}", "s", f"10.0.0.{n}:80", "z", sequence=1, slots=12)
             for n in range(count)
         ]
-        registry.take(states, now_s)
+        registry.update(states, now_s)
         follower = SimpleNamespace(versions=NamedVersions(), open_links=list)
-        placing = Placing(SETTINGS, IDENTITY, registry, follower)
-        placing.sidecars = sidecars
+        allocator = SlotAllocator(SETTINGS, IDENTITY, registry, follower)
+        allocator.sidecars = sidecars
         request = CallerRequest(
             "q", "POST", "/", "h", "/", (), b"", "", now_s, 5.4, 900, 90
         )
         admitted = Admitted(request, ROUTE, None, now_s + 5.4, returned)
-        return await placing.place(admitted, "s", ENGINE, set(), now_s)
+        return await allocator.allocate(admitted, "s", ENGINE, set(), now_s)
 
     return asyncio.run(run())
 
@@ -79,21 +79,21 @@
         """Load: sidecars that let a request wait before they deny it."""
         sidecars = FakeSidecars(DENIED, DENIED, DENIED, verdict_s=0.02)
         assert isinstance(place(sidecars), Refusal)
-        waits = [question.wait_ms for question in sidecars.questions]
+        waits = [reservation.wait_ms for reservation in sidecars.reservations]
         assert waits == sorted(waits, reverse=True) and len(set(waits)) == 3
 
     def test_objective_is_not_shortened_for_a_caller_that_waits_for_less(self):
         """Its limit ends after 5.4 s in place of 6 s; the objective is the same."""
         sidecars = FakeSidecars(DENIED, DENIED, DENIED)
         place(sidecars)
-        first = sidecars.questions[0]
+        first = sidecars.reservations[0]
         assert not first.late
         assert first.wait_ms > ROUTE.latency_ms / 2
 
     def test_caller_that_comes_back_goes_last(self):
         sidecars = FakeSidecars(DENIED, DENIED, DENIED)
         place(sidecars, returned=True)
-        assert all(question.late for question in sidecars.questions)
+        assert all(reservation.late for reservation in sidecars.reservations)
 
 
 class TestEnginesAtTheirLimit:
@@ -106,7 +106,7 @@
         sidecars = FakeSidecars(*[self.LIMITED] * 9, messages.Reserved(True, 1))
         placed = place(sidecars, count=10)
         assert not isinstance(placed, Refusal)
-        assert len(sidecars.questions) == 10
+        assert len(sidecars.reservations) == 10
 
     def test_all_at_their_limit_refuse_with_the_time_until_the_first(self):
         sooner = messages.Reserved(retry_ms=300, limited=True)
--- a/tests/test_target_feed.py
+++ b/tests/test_target_feed.py
@@ -10,7 +10,7 @@
 from wisteriapulley.control.followers import Followers
 from wisteriapulley.control.target_feed import BATCH_S, BEATS_S, TargetFeed
 from wisteriapulley.control.targets import Change, TargetTable
-from wisteriapulley.direct.registry import SILENCE_S, TargetRegistry
+from wisteriapulley.direct.registry import HEARTBEAT_TIMEOUT_S, TargetRegistry
 from wisteriapulley.regions import Regions
 from wisteriapulley.wire import messages
 from wisteriapulley.wire.messages import TargetState
@@ -159,7 +159,7 @@
         received, link.taken = link.taken, []
         for message in received:
             if isinstance(message, messages.TargetNews):
-                registry.take(message.targets, now_s)
+                registry.update(message.targets, now_s)
             else:
                 missed = registry.take_beats(message.beats, now_s)
                 instance.feed.answer(messages.TargetQuery(tuple(missed)), link)
@@ -187,20 +187,22 @@
     def test_missed_end_is_repeated(self):
         table, registry = TargetTable(6000), TargetRegistry()
         table.update(state(1), 0.0)
-        registry.take([state(1)], 0.0)
+        registry.update([state(1)], 0.0)
         table.mark_gone("i-1", 1000.0)
         heartbeats = tuple(table.heartbeats(2000.0, 1500.0))
-        assert registry.take_beats(heartbeats, 2.0) == ["i-1"]
+        assert registry.record_heartbeats(heartbeats, 2.0) == ["i-1"]
 
     def test_heartbeats_keep_a_target_a_candidate(self):
         registry = TargetRegistry()
-        registry.take([state(1)], 0.0)
+        registry.update([state(1)], 0.0)
         now_s = 0.0
         for _ in range(10):
             now_s += HEARTBEAT_S
             heartbeat = messages.TargetBeat("i-1", 0, 1, False, 200)
-            assert registry.take_beats([heartbeat], now_s) == []
+            assert registry.record_heartbeats([heartbeat], now_s) == []
         assert len(registry.candidates("s", now_s)) == 1
         other = messages.TargetBeat("i-2", 0, 1, False, 0)
-        assert registry.take_beats([other], now_s + SILENCE_S) == ["i-2"]
-        assert registry.candidates("s", now_s + SILENCE_S) == []
+        assert registry.record_heartbeats([other], now_s + HEARTBEAT_TIMEOUT_S) == [
+            "i-2"
+        ]
+        assert registry.candidates("s", now_s + HEARTBEAT_TIMEOUT_S) == []
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -8,9 +8,9 @@
 
 from wisteriapulley.control.targets import GONE_RETENTION_MS, TargetTable
 from wisteriapulley.direct.registry import (
-    ASIDE_S,
-    DOWN_FIRST_S,
-    SILENCE_S,
+    EJECTION_S,
+    HEARTBEAT_TIMEOUT_S,
+    INITIAL_BACKOFF_S,
     TargetRegistry,
 )
 from wisteriapulley.wire.messages import TargetState
@@ -103,22 +103,22 @@
 
     def test_registry_drops_the_state_of_the_earlier_incarnation(self):
         registry = TargetRegistry()
-        registry.take([state(sequence=50, version=2, started_ms=1000)], 0.0)
+        registry.update([state(sequence=50, version=2, started_ms=1000)], 0.0)
         earlier = registry.targets["i-1"]
         earlier.outstanding = 7
-        earlier.unreachable(1.0)
-        registry.take([state(sequence=1, started_ms=2000)], 1.1)
+        earlier.record_unreachable(1.0)
+        registry.update([state(sequence=1, started_ms=2000)], 1.1)
         target = registry.targets["i-1"]
         assert (target.outstanding, target.state.version) == (0, 0)
         assert [t.target_id for t in registry.candidates("s", 1.1)] == ["i-1"]
-        registry.take([state(sequence=51, version=2, started_ms=1000)], 1.2)
+        registry.update([state(sequence=51, version=2, started_ms=1000)], 1.2)
         assert registry.targets["i-1"] is target
 
     def test_registry_frees_the_address_of_the_earlier_incarnation(self):
         registry = TargetRegistry()
-        registry.take([state(started_ms=1000)], 0.0)
-        registry.take([state(started_ms=2000, address="10.0.0.9:80")], 1.0)
-        registry.take([state("i-2")], 2.0)
+        registry.update([state(started_ms=1000)], 0.0)
+        registry.update([state(started_ms=2000, address="10.0.0.9:80")], 1.0)
+        registry.update([state("i-2")], 2.0)
         names = {t.target_id for t in registry.candidates("s", 2.0)}
         assert names == {"i-1", "i-2"}
 
@@ -136,7 +136,7 @@
         table, registry = TargetTable(6000), TargetRegistry()
         for item in received:
             table.update(item, 0.0)
-            registry.take([item], 0.0)
+            registry.update([item], 0.0)
         newest = max(received, key=lambda item: (item.started_ms, item.sequence))
         assert table.records["i-1"].state == newest
         assert registry.targets["i-1"].state == newest
@@ -146,12 +146,12 @@
     def test_another_service_or_address_changes_nothing(self):
         table, registry = TargetTable(6000), TargetRegistry()
         table.update(state(), 0.0)
-        registry.take([state()], 0.0)
+        registry.update([state()], 0.0)
         foreign = state(sequence=1 << 40)._replace(service="other")
         moved = state(sequence=1 << 40, address="10.9.9.9:1")
         for announcement in (foreign, moved):
             assert not table.update(announcement, 1.0)
-            registry.take([announcement], 1.0)
+            registry.update([announcement], 1.0)
         assert table.records["i-1"].state == state()
         assert registry.targets["i-1"].state == state()
 
@@ -162,56 +162,60 @@
 
     def test_leaving_target_is_no_candidate(self):
         registry = TargetRegistry()
-        registry.take([state()], 0.0)
+        registry.update([state()], 0.0)
         assert self.candidates(registry, 0.1) == ["i-1"]
-        registry.take([state(sequence=2, leaving=True)], 0.2)
+        registry.update([state(sequence=2, leaving=True)], 0.2)
         assert self.candidates(registry, 0.3) == []
 
     def test_unresponsive_target_is_no_candidate_while_others_respond(self):
         registry = TargetRegistry()
-        registry.take([state()], 0.0)
-        later = SILENCE_S + 1
-        registry.take([state("i-2", address="10.0.0.2:80")], later)
+        registry.update([state()], 0.0)
+        later = HEARTBEAT_TIMEOUT_S + 1
+        registry.update([state("i-2", address="10.0.0.2:80")], later)
         assert self.candidates(registry, later) == ["i-2"]
 
     def test_targets_stay_candidates_without_any_announcements(self):
         registry = TargetRegistry()
-        registry.take([state()], 0.0)
+        registry.update([state()], 0.0)
         assert self.candidates(registry, 60.0) == ["i-1"]
 
     def test_new_incarnation_takes_the_address(self):
         registry = TargetRegistry()
-        registry.take([state()], 0.0)
-        registry.take([state("i-2")], 1.0)
+        registry.update([state()], 0.0)
+        registry.update([state("i-2")], 1.0)
         assert self.candidates(registry, 1.0) == ["i-2"]
 
     def test_late_announcement_of_the_earlier_incarnation(self):
         registry = TargetRegistry()
-        registry.take([state("i-2")], 5.0)
-        registry.take([state("i-1", age_ms=3000)], 6.0)
+        registry.update([state("i-2")], 5.0)
+        registry.update([state("i-1", age_ms=3000)], 6.0)
         assert self.candidates(registry, 6.0) == ["i-2"]
 
     def test_unreachable_target_is_retried_after_a_pause(self):
         registry = TargetRegistry()
-        registry.take([state()], 0.0)
-        registry.targets["i-1"].unreachable(1.0)
-        assert self.candidates(registry, 1.0 + DOWN_FIRST_S / 2) == []
-        assert self.candidates(registry, 1.1 + DOWN_FIRST_S) == ["i-1"]
+        registry.update([state()], 0.0)
+        registry.targets["i-1"].record_unreachable(1.0)
+        assert self.candidates(registry, 1.0 + INITIAL_BACKOFF_S / 2) == []
+        assert self.candidates(registry, 1.1 + INITIAL_BACKOFF_S) == ["i-1"]
 
     def test_target_that_alone_fails_is_ejected(self):
         registry = TargetRegistry()
-        registry.take([state(f"i-{n}", address=f"10.0.0.{n}:80") for n in (1, 2, 3)], 0)
+        registry.update(
+            [state(f"i-{n}", address=f"10.0.0.{n}:80") for n in (1, 2, 3)], 0
+        )
         for _ in range(8):
-            registry.judge(registry.targets["i-1"], True, 1.0)
-            registry.judge(registry.targets["i-2"], False, 1.0)
-            registry.judge(registry.targets["i-3"], False, 1.0)
+            registry.record_outcome(registry.targets["i-1"], True, 1.0)
+            registry.record_outcome(registry.targets["i-2"], False, 1.0)
+            registry.record_outcome(registry.targets["i-3"], False, 1.0)
         assert self.candidates(registry, 1.1) == ["i-2", "i-3"]
-        assert len(self.candidates(registry, 1.1 + ASIDE_S)) == 3
+        assert len(self.candidates(registry, 1.1 + EJECTION_S)) == 3
 
     def test_targets_are_not_ejected_when_all_fail(self):
         registry = TargetRegistry()
-        registry.take([state(f"i-{n}", address=f"10.0.0.{n}:80") for n in (1, 2, 3)], 0)
+        registry.update(
+            [state(f"i-{n}", address=f"10.0.0.{n}:80") for n in (1, 2, 3)], 0
+        )
         for _ in range(8):
             for name in ("i-1", "i-2", "i-3"):
-                registry.judge(registry.targets[name], True, 1.0)
+                registry.record_outcome(registry.targets[name], True, 1.0)
         assert len(self.candidates(registry, 1.1)) >= 2
