--- a/src/wisteriapulley/direct/events.py
+++ b/src/wisteriapulley/direct/events.py
@@ -1,17 +1,19 @@
-"""Splits a stream into whole events, so that it can go on at another target."""
+"""Splits a stream into complete events, so that another target can resume it."""
 
 EVENT_END = b"\n\n"
 
 
 class EventSplitter:
-    """Whole events of a stream's bytes.
+    """Collects the bytes of a stream and returns complete events.
 
     Attributes
     ----------
     last_id : str
-        Id of the last whole event; empty before the first.
-    events : int
-        Whole events so far.
+        Id of the last complete event; empty before the first.
+    event_count : int
+        Complete events so far.
+    partial : bytes
+        Bytes of an incomplete event at the end of the stream so far.
     """
 
     def __init__(self, last_id: str = ""):
@@ -20,19 +22,19 @@
         self.partial = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes in; return the whole events among them."""
+        """Add bytes of the stream; return the events that are complete now."""
         data = self.partial + data
         end = data.rfind(EVENT_END)
         if end < 0:
             self.partial = data
             return b""
-        whole, self.partial = data[: end + 2], data[end + 2 :]
-        for event in whole.split(EVENT_END):
+        complete, self.partial = data[: end + 2], data[end + 2 :]
+        for event in complete.split(EVENT_END):
             self.record_event(event)
-        return whole
+        return complete
 
     def record_event(self, event: bytes) -> None:
-        """Remember an event's id."""
+        """Count an event and store its id."""
         if not event:
             return
         self.event_count += 1
@@ -41,5 +43,5 @@
                 self.last_id = line[3:].strip().decode("latin-1")
 
     def discard_partial(self) -> None:
-        """Forget the part of an event that a broken stream left."""
+        """Discard the incomplete event that a broken stream left."""
         self.partial = b""
--- a/src/wisteriapulley/direct/progress.py
+++ b/src/wisteriapulley/direct/progress.py
@@ -1,4 +1,4 @@
-"""One request on its way: what allows it, and what has happened to it so far."""
+"""State of one request: its admission, and its progress so far."""
 
 from typing import NamedTuple
 
@@ -9,20 +9,20 @@
 
 
 class Admitted(NamedTuple):
-    """A request that a route and a key allow.
+    """A request with a matching route and an accepted key.
 
     Attributes
     ----------
     request : CallerRequest
         The request.
     route : Route
-        What allows it.
+        Matching route.
     account : Account or None
-        Whose key it bears, if any.
+        Client account of its key, if any.
     deadline_s : float
-        When its caller or its route gives it up, on the loop's clock.
+        When it times out, by the caller's or the route's limit, on the loop's clock.
     returned : bool
-        Whether its caller was refused before, so that it can't be in time any more.
+        Whether it is a retry after a refusal, which can't meet its objective any more.
     """
 
     request: CallerRequest
@@ -33,7 +33,7 @@
 
     @property
     def priority(self) -> int:
-        """Rank of the request; the account's goes before the route's."""
+        """Priority of the request; that of the account overrides that of the route."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
@@ -45,31 +45,31 @@
 
 
 class Progress:
-    """What has happened to a request so far.
+    """Progress of a request.
 
     Parameters
     ----------
     request : CallerRequest
         The request.
     service : str
-        The service that was chosen for it.
-    most_sends : int
-        Targets that it may be sent to in all.
+        Service selected for it.
+    max_sends : int
+        Targets that it may be sent to in total.
 
     Attributes
     ----------
     sends : int
-        Targets that it was sent to.
+        Targets that it was sent to so far.
     may_have_run : bool
-        Whether one of them may have begun to work on it.
+        Whether one of them may have started to run it.
     tried : set of str
-        Targets that are not asked again.
+        Ids of targets that are not tried again.
     outcome : SendOutcome
-        Of the last send.
+        Outcome of the last send.
     events : EventSplitter
-        Events that the caller has.
+        Events that were relayed to the caller.
     fingerprint : bytes
-        Names the request whichever attempt it comes by; empty until it is needed.
+        Identifies the request across attempts; empty until it is needed.
     """
 
     def __init__(self, request: CallerRequest, service: str = "", max_sends: int = 1):
@@ -84,10 +84,10 @@
 
     @property
     def has_sends_left(self) -> bool:
-        """Whether the route allows one more target."""
+        """Whether the route permits one more send."""
         return self.sends < self.max_sends
 
     @property
     def is_last_send(self) -> bool:
-        """Whether the route allows no further target after the next one."""
+        """Whether the next send is the last one that the route permits."""
         return self.sends + 1 >= self.max_sends
--- a/src/wisteriapulley/direct/registry.py
+++ b/src/wisteriapulley/direct/registry.py
@@ -1,4 +1,4 @@
-"""Targets as one entry knows them: announced, and seen by its own sends. Pure."""
+"""Target state as seen by one process, from updates and its own requests. Pure."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -9,36 +9,40 @@
 from wisteriapulley.policy.response_signals import CooldownTracker, ResponseSignals
 from wisteriapulley.wire.messages import TargetBeat, TargetState
 
-# Silence after which a target counts as gone, while others are still heard of.
+# A target without a heartbeat for this long counts as gone, as long as updates about
+# other targets still arrive.
 HEARTBEAT_TIMEOUT_S = 5.0
-# Without any news for so long the control instances are away, not the targets.
+# Without any update for this long, the control instances are taken to be unreachable
+# rather than the targets gone.
 UPDATE_TIMEOUT_S = 2.5
-# A target that said that it leaves is known for so long after it was heard last: late
-# news must not bring it back.
+# A target that announced that it is leaving is kept for this long after its last
+# heartbeat, so that a delayed update can't bring it back.
 LEAVING_RETENTION_S = 600.0
-# A target that could not be reached is left alone for so long, then doubled.
+# Backoff of a target that could not be reached; it doubles with each failure.
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 4.0
-# Failures of a target against those of its peers: one that fails on its own more
-# often than this is set aside for a while, at most a third of a service at once.
+# Outlier ejection: a target whose failure rate is above this, and well above that of
+# its peers, is ejected for a while; at most a third of a service at a time.
 EJECTION_FAILURE_RATE = 0.35
 MIN_EJECTION_SAMPLES = 4
 EJECTION_S = 3.0
 MAX_EJECTED_FRACTION = 0.34
+# Weight of a new sample in the moving average of a failure rate.
 FAILURE_RATE_GAIN = 0.25
 
 
 class SignalChanges(NamedTuple):
-    """What the statements of one answer changed.
+    """What the signals in one response changed.
 
     Attributes
     ----------
     rate : bool
-        Whether a rate is stated, or none any more: whoever holds it is to know.
-    rest : bool
-        Whether a rest begins.
+        Whether a rate was advertised or withdrawn, so that the rate owner has to be
+        notified.
+    cooldown : bool
+        Whether a cool-down started.
     leaving : bool
-        Whether it is the first word that the target leaves.
+        Whether the target announced for the first time that it is leaving.
     """
 
     rate: bool
@@ -52,19 +56,32 @@
     Attributes
     ----------
     state : TargetState
-        As announced.
+        Last announced state.
     host : str
         Its address without the port.
+    last_seen_s, first_seen_s : float
+        When its last and its first heartbeat was sent, on the loop's clock.
     outstanding : int
-        Requests of this entry that it holds.
+        In-flight requests of this entry at the target.
     slots : int
-        Requests that it runs at once, as far as known.
-    rate : KnownRate
-        Requests a second that it takes, where its answers say so.
-    rest : KnownRest
-        Time for which it wants nothing from this instance.
-    said_leaving : bool
-        Whether its answers said that it is about to end. That holds until it ends.
+        Requests that it runs concurrently, as last reported.
+    unreachable_until_s : float
+        When the backoff after a failed connection ends.
+    failure_rate : float
+        Moving average of failed requests, from 0 to 1.
+    ejected_until_s : float
+        When its outlier ejection ends.
+    replaced : bool
+        Whether another target has its address now.
+    rate : RateTracker
+        Requests per second that its responses advertise.
+    cooldown : CooldownTracker
+        Cool-down that its responses request from this instance.
+    announced_leaving : bool
+        Whether a response announced that the target is about to exit. Once set, it
+        holds for the rest of the incarnation.
+    breaker : CircuitBreaker
+        Circuit breaker for rejected requests.
     """
 
     def __init__(self, state: TargetState, seen_s: float):
@@ -88,12 +105,12 @@
 
     @property
     def target_id(self) -> str:
-        """The incarnation."""
+        """Id of the target."""
         return self.state.target_id
 
     @property
     def incarnation(self) -> str:
-        """Name of this start: a target may start again under its id."""
+        """Target id and start time, since a target may restart under the same id."""
         return f"{self.state.target_id}/{self.state.started_ms}"
 
     @property
@@ -103,11 +120,11 @@
 
     @property
     def failure_domain(self) -> str:
-        """Where it is."""
+        """Failure domain of the target."""
         return self.state.failure_domain
 
     def update(self, state: TargetState, seen_s: float) -> None:
-        """Take news in."""
+        """Apply a newer announced state."""
         self.last_seen_s = max(self.last_seen_s, seen_s)
         self.state = state
         self.host = host_of(state.address)
@@ -115,24 +132,24 @@
         self.cold_until_s = seen_s + state.cold_ms / 1000
 
     def record_sent(self, now_s: float) -> None:
-        """Note that a request goes here."""
+        """Record that a request is sent here."""
         self.outstanding += 1
         self.breaker.record_sent(now_s)
 
     def record_ended(self, sent_s: float, now_s: float, outcome: SendOutcome) -> None:
-        """Note that a request is here no more, and what became of it."""
+        """Record that a request is no longer in flight here, and its outcome."""
         self.outstanding -= 1
         self.breaker.record_outcome(
             outcome, sent_s, now_s, self.cooldown.wait_s(now_s) > 0
         )
 
     def record_unreachable(self, now_s: float) -> None:
-        """Note that it could not be reached."""
+        """Record a failed connection and start a backoff."""
         self.unreachable_until_s = now_s + self.backoff_s
         self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * 2)
 
     def record_outcome(self, failed: bool) -> None:
-        """Take in how a request ended here."""
+        """Update the failure rate with the result of a request."""
         self.samples += 1
         self.failure_rate += FAILURE_RATE_GAIN * (failed - self.failure_rate)
         if not failed:
@@ -141,16 +158,21 @@
     def record_signals(
         self, signals: ResponseSignals, sent_s: float, now_s: float
     ) -> SignalChanges:
-        """Take in what an answer of this very incarnation says of it.
+        """Record the signals in a response of this incarnation.
 
         Parameters
         ----------
-        says : Statements
-            The answer's word.
+        signals : ResponseSignals
+            Signals in the response.
         sent_s : float
-            When its request was sent.
+            When the request was sent.
         now_s : float
             The loop's clock.
+
+        Returns
+        -------
+        SignalChanges
+            What changed.
         """
         if signals.load is not None and signals.load.slots:
             self.slots = signals.load.slots
@@ -164,12 +186,12 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it, or control instances, said that it ends as planned."""
+        """Whether it announced a planned exit, or control instances did."""
         return self.announced_leaving or self.state.leaving or self.state.gone
 
     @property
     def is_retired(self) -> bool:
-        """Whether it never takes a request again."""
+        """Whether it will never accept a request again."""
         return self.is_leaving or self.replaced
 
     def wait_s(self, now_s: float, is_last: bool = False) -> float:
@@ -180,7 +202,7 @@
         now_s : float
             The loop's clock.
         is_last : bool
-            Whether the request can't be sent again if it is turned away.
+            Whether the request can't be sent again if it is rejected.
         """
         state = self.state
         if state.leaving or state.gone or self.replaced or self.announced_leaving:
@@ -194,12 +216,22 @@
         return wait_s
 
     def throttled_s(self, now_s: float, is_last: bool = False) -> float:
-        """Return how long it wants no requests, or none may be tried; 0 for now."""
+        """Return the time left of its cool-down or open circuit breaker; 0 for none."""
         return max(self.cooldown.wait_s(now_s), self.breaker.wait_s(now_s, is_last))
 
 
 class TargetRegistry:
-    """All targets that an entry knows."""
+    """Targets known to one process.
+
+    Attributes
+    ----------
+    targets : dict of str to Target
+        Targets by id.
+    by_address : dict of str to str
+        Id of the target that has an address now.
+    last_update_s : float
+        When control instances last sent an update, on the loop's clock.
+    """
 
     def __init__(self):
         self.targets: dict[str, Target] = {}
@@ -207,7 +239,7 @@
         self.last_update_s = 0.0
 
     def update(self, states: Iterable[TargetState], now_s: float) -> None:
-        """Take news of control instances in."""
+        """Apply target states received from control instances."""
         for state in states:
             self.last_update_s = now_s
             self.update_target(state, now_s - state.age_ms / 1000)
@@ -215,32 +247,32 @@
     def record_heartbeats(
         self, heartbeats: Iterable[TargetBeat], now_s: float
     ) -> list[str]:
-        """Take in that targets were heard again.
+        """Record heartbeats of targets.
 
         Parameters
         ----------
         beats : iterable of TargetBeat
-            From one control instance.
+            Received from one control instance.
         now_s : float
             The loop's clock.
 
         Returns
         -------
         list of str
-            Targets of which news were missed.
+            Ids of targets whose state here is missing or stale.
         """
         self.last_update_s = now_s
-        missed: list[str] = []
+        stale: list[str] = []
         for beat in heartbeats:
             known = self.targets.get(beat.target_id)
             if known is not None and includes(known.state, beat):
                 known.last_seen_s = max(known.last_seen_s, now_s - beat.age_ms / 1000)
             elif known is not None or not beat.gone:
-                missed.append(beat.target_id)
-        return missed
+                stale.append(beat.target_id)
+        return stale
 
     def update_target(self, state: TargetState, seen_s: float) -> None:
-        """Take news of one target in, unless newer ones are known."""
+        """Apply the state of one target, unless a newer one is known."""
         known = self.targets.get(state.target_id)
         if known is not None:
             if not is_newer(state, known.state):
@@ -255,41 +287,41 @@
         self.assign_address(target)
 
     def release_address(self, target: Target) -> None:
-        """Give up the address of a target that is no more, or starts again.
+        """Release the address of a target that is gone or has restarted.
 
-        One that starts again is judged anew: what it held, owed and failed at
-        belongs to its earlier start.
+        A restarted target begins with fresh state: in-flight requests, cool-downs and
+        failures belong to its earlier incarnation.
         """
         if self.by_address.get(target.address) == target.target_id:
             del self.by_address[target.address]
 
     def assign_address(self, target: Target) -> None:
-        """Give an address to the target that was first heard of last.
+        """Assign an address to the target whose first heartbeat is the newest.
 
-        A late announcement of an earlier incarnation must not take the address
-        back: it is older than the one that holds it.
+        A delayed announcement of an earlier incarnation must not take the address
+        back from its successor.
         """
-        holder = self.targets.get(self.by_address.get(target.address, ""))
-        if holder is not None and holder is not target:
-            if holder.state.gone or holder.first_seen_s <= target.first_seen_s:
-                holder.replaced = True
+        owner = self.targets.get(self.by_address.get(target.address, ""))
+        if owner is not None and owner is not target:
+            if owner.state.gone or owner.first_seen_s <= target.first_seen_s:
+                owner.replaced = True
             else:
                 target.replaced = True
                 return
         self.by_address[target.address] = target.target_id
 
     def record_other_instance(self, target: Target, now_s: float) -> None:
-        """Note that another incarnation answered at a target's address."""
+        """Record that another instance responded at a target's address."""
         target.record_unreachable(now_s)
 
     def of_service(self, service: str) -> Iterator[Target]:
-        """Yield all targets of a service."""
+        """Iterate over all targets of a service."""
         return (t for t in self.targets.values() if t.state.service == service)
 
     def candidates(
         self, service: str, now_s: float, is_last: bool = False
     ) -> list[Target]:
-        """Return the targets of a service that take requests now.
+        """Return the targets of a service that accept requests now.
 
         Parameters
         ----------
@@ -298,7 +330,7 @@
         now_s : float
             The loop's clock.
         is_last : bool
-            Whether the request can't be sent again if it is turned away.
+            Whether the request can't be sent again if it is rejected.
         """
         heard_s = self.liveness_cutoff_s(now_s)
         return [
@@ -308,7 +340,7 @@
         ]
 
     def liveness_cutoff_s(self, now_s: float) -> float:
-        """Return since when a target must have been heard to count as alive."""
+        """Return the time after which a live target must have been last seen."""
         return (
             now_s - HEARTBEAT_TIMEOUT_S
             if now_s - self.last_update_s < UPDATE_TIMEOUT_S
@@ -316,10 +348,10 @@
         )
 
     def throttled_s(self, service: str, now_s: float, is_last: bool = False) -> float:
-        """Return how long until a service whose targets hold back has one that not.
+        """Return how long until a service with throttled targets accepts a request.
 
-        0 where one takes requests now, or none holds back: those that are away may
-        be back any time.
+        The result is 0 if a target accepts requests now, or if none is throttled:
+        unreachable targets may return at any time.
         """
         heard_s = self.liveness_cutoff_s(now_s)
         alive = [t for t in self.of_service(service) if t.last_seen_s > heard_s]
@@ -329,16 +361,16 @@
         return wait_s if wait_s < float("inf") else 0.0
 
     def record_outcome(self, target: Target, failed: bool, now_s: float) -> None:
-        """Take in how a request ended; set a target aside that fails alone."""
+        """Record the result of a request; eject a target that is an outlier."""
         target.record_outcome(failed)
         if not failed or target.samples < MIN_EJECTION_SAMPLES:
             return
         peers = [t for t in self.of_service(target.state.service) if t is not target]
         if not peers or target.failure_rate < EJECTION_FAILURE_RATE:
             return
-        others = sum(t.failure_rate for t in peers) / len(peers)
-        aside = sum(now_s < t.ejected_until_s for t in peers)
-        if target.failure_rate < 2 * others or aside + 1 > max(
+        peer_failure_rate = sum(t.failure_rate for t in peers) / len(peers)
+        ejected = sum(now_s < t.ejected_until_s for t in peers)
+        if target.failure_rate < 2 * peer_failure_rate or ejected + 1 > max(
             1, MAX_EJECTED_FRACTION * (len(peers) + 1)
         ):
             return
@@ -347,20 +379,20 @@
         target.failure_rate = 0.0
 
     def retention_s(self, target: Target) -> float:
-        """Return how long a target is known that is not heard any more."""
+        """Return how long a target without heartbeats is kept."""
         return (
             LEAVING_RETENTION_S if target.announced_leaving else 4 * HEARTBEAT_TIMEOUT_S
         )
 
     def sweep(self, now_s: float) -> list[Target]:
-        """Forget targets that ended long ago; return them."""
+        """Remove targets without recent heartbeats and return them."""
         dropped = [
             target
             for target in self.targets.values()
             if now_s - target.last_seen_s > self.retention_s(target)
             and now_s - self.last_update_s < UPDATE_TIMEOUT_S
             and not target.outstanding
-            # It may be heard again, and then is still owed its rest.
+            # It may return, and its requested cool-down still applies then.
             and not target.cooldown.wait_s(now_s)
         ]
         for target in dropped:
@@ -370,5 +402,5 @@
 
 
 def host_of(address: str) -> str:
-    """Return an address without its port."""
+    """Return the host of an address."""
     return address.rpartition(":")[0]
--- a/src/wisteriapulley/direct/slot_allocation.py
+++ b/src/wisteriapulley/direct/slot_allocation.py
@@ -1,4 +1,4 @@
-"""Finds a place for a request: at a plain target, or through an engine's sidecar."""
+"""Allocates a slot for a request at a plain target or at an engine with a sidecar."""
 
 import asyncio
 import logging
@@ -23,40 +23,52 @@
 
 log = logging.getLogger(__name__)
 
-# Sidecars that a request asks in turn before it is refused.
+# Sidecars that are asked in turn for one request before it is refused.
 MAX_SIDECARS_ASKED = 6
-# Requests of one entry at an engine whose sidecar does not answer: few, since
-# nobody counts what the other entries send there.
+# In-flight requests of this entry at an engine without a link to its sidecar. Small,
+# because nothing limits what the other entries send there meanwhile.
 MAX_WITHOUT_SIDECAR = 2
-# A request that is already late may wait for a place for so long in any case, and
-# longer while its answer still can be whole in the caller's time.
+# A late request may queue for at least this long, and for longer as long as its
+# response can still complete before the caller's deadline.
 MIN_LATE_WAIT_MS = 400.0
-# An engine in use reads other prompts for about as long as it writes: an answer takes
-# twice the time of its own decode steps.
+# A busy engine spends about as much time on the prefill of other requests as on
+# decoding, so a response takes twice the time of its own decode steps.
 DECODE_TIME_FACTOR = 2
-# Added to the priority of one that is late: those still in time go first.
+# Added to the priority value of late requests, so that requests that can still meet
+# their objective go first.
 LATE_PRIORITY_OFFSET = 100
-# Left of an objective for the way there and back, and for what the estimate of
-# the first event misses: requests admitted to the last millisecond come late. On
-# the emulator, six engines at 1.2 times the peak: 0.64 in time without, 0.75 with it.
+# Part of the latency objective reserved for the network round trip and for the error
+# of the first-event estimate. Requests admitted up to the last millisecond miss the
+# objective: with six emulated engines at 1.2 times the peak load, a fraction of 0.64
+# meets it without this margin and 0.75 with it.
 LATENCY_MARGIN_MS = 130.0
 DEFAULT_RETRY_S = 0.25
-# Milliseconds before a replaced version's time ends at which nothing more is sent
-# without a sidecar's estimate: a request begins with its first token, not when it is
-# sent, and the first token takes most of an objective where an engine is busy.
+# Without a sidecar's estimate, no request is sent to a superseded version this long
+# before the end of its grace period. A request starts with its first token, not when
+# it is sent, and a busy engine takes most of an objective to produce that token.
 WITHOUT_SIDECAR_MARGIN_MS = 900.0
-# Milliseconds before that end at which a request that has not begun is dropped: the
-# close takes some milliseconds to its target, more where a link is narrow, and the
-# word of the newer version took as long to come here.
+# A request that has not started is dropped this long before the end of the grace
+# period. The connection close takes some milliseconds to reach the target, more over
+# a slow link, and the update about the newer version took as long to arrive here.
 VERSION_END_MARGIN_MS = 100.0
 
 
-# Ends a request's place; told what its target did with it.
+# Releases a slot; called with what the target did with the request.
 ReleaseSlot = Callable[[SendOutcome], None]
 
 
 class Urgency(NamedTuple):
-    """How urgent a request is: until when, its rank, and whether it is late."""
+    """How urgent a request is.
+
+    Attributes
+    ----------
+    wait_ms : float
+        How long its first event may take from now on.
+    priority : int
+        Rank in the queue of a sidecar; lower goes first.
+    late : bool
+        Whether it can no longer meet its latency objective.
+    """
 
     wait_ms: float
     priority: int
@@ -64,15 +76,21 @@
 
 
 class AllocatedSlot(NamedTuple):
-    """A target that a request may be sent to now; `version` 0 is any.
+    """A slot at a target that a request may be sent to now.
 
     Attributes
     ----------
+    target : Target
+        Where to send the request.
+    version : int
+        Version of the weights to request; 0 for any.
+    release : ReleaseSlot
+        Releases the slot.
     start_deadline_s : float or None
-        When its first event must have come, on the loop's clock, since the
-        version's time ends then.
+        When the first event must have arrived, on the loop's clock, because the
+        version may not start requests after that; None without such a limit.
     granted : bool
-        Whether the target's sidecar granted it.
+        Whether the target's sidecar granted the slot.
     """
 
     target: Target
@@ -83,16 +101,19 @@
 
 
 class Denials:
-    """How the sidecars that one request asked denied it a place.
+    """Negative responses of the sidecars that were asked for one request.
 
     Attributes
     ----------
-    others : int
-        How many denied it for another reason than their engine's own word. One that
-        is at its limit or rests denies at once, and tells nothing of the others.
-    full_s, limited_s : list of float
-        When those that are full are likely to have a place, and those at their limit
-        or at rest to let a request pass.
+    counted : int
+        Denials that count towards `MAX_SIDECARS_ASKED`. Those of engines at their
+        advertised rate or in a cool-down do not: such a sidecar denies at once, and
+        this does not indicate that the other engines are full.
+    full_s : list of float
+        For each full engine, when it is likely to have a free slot.
+    limited_s : list of float
+        For each engine at its rate limit or in a cool-down, when it may accept a
+        request again.
     """
 
     def __init__(self):
@@ -101,12 +122,12 @@
         self.limited_s: list[float] = []
 
     def add_throttled(self, wait_s: float) -> None:
-        """Take in that a target lets no request pass for a time, infinite for ever."""
+        """Record that a target accepts no request for some time; infinity for ever."""
         if wait_s < float("inf"):
             self.limited_s.append(wait_s)
 
     def add(self, reserved: messages.Reserved | None) -> None:
-        """Take in an answer; None from a sidecar that gave none."""
+        """Record a denial; None if the sidecar did not respond."""
         if reserved is not None and reserved.limited:
             self.limited_s.append(reserved.retry_ms / 1000)
             return
@@ -116,27 +137,27 @@
 
     @property
     def retry_s(self) -> float:
-        """When to come back.
+        """When the caller may retry, in seconds.
 
-        An engine at its limit takes the next few requests only, so that its time is
-        told where no other engine names one.
+        An engine at its rate limit accepts only the next few requests, so its time is
+        used only if no full engine reported one.
         """
         return min(self.full_s or self.limited_s or (DEFAULT_RETRY_S,))
 
 
 class SlotAllocator:
-    """Places of all targets that an entry knows.
+    """Allocates slots at the targets of one entry.
 
     Parameters
     ----------
     settings : DirectSettings
-        Where the entry is.
+        Failure domain and regions of the entry.
     identity : Identity
-        Who it is.
+        Identity of the entry.
     registry : TargetRegistry
-        The targets.
+        Known targets.
     follower : ControlFollower
-        Weights in force.
+        Links to control instances, and the desired versions of weights.
     """
 
     def __init__(
@@ -151,7 +172,7 @@
         self.follower = follower
         self.sidecars = Sidecars(settings, identity, registry)
         self.rate_permits = RatePermitClient(follower.open_links)
-        self.surroundings = EntryLocation(
+        self.location = EntryLocation(
             settings.failure_domain, Regions(settings.failure_domain_regions)
         )
         self.random = random.Random(identity.node_id)
@@ -169,9 +190,22 @@
         now_s: float,
         is_last: bool = False,
     ) -> AllocatedSlot | Refusal:
-        """Find a place for a request, or say at once that there is none.
-
-        `is_last` says that it can't be sent again if its target turns it away.
+        """Allocate a slot for a request, or return why there is none.
+
+        Parameters
+        ----------
+        admitted : Admitted
+            The request.
+        service : str
+            Service to send it to.
+        engine : Engine or None
+            Engine parameters of the service; None for plain targets.
+        tried : set of str
+            Ids of targets not to use again.
+        now_s : float
+            The loop's clock.
+        is_last : bool
+            Whether the request can't be sent again if its target rejects it.
         """
         targets = [
             target
@@ -187,15 +221,15 @@
     def refuse_without_target(
         self, service: str, tried: set[str], now_s: float, is_last: bool
     ) -> Refusal:
-        """Say that no target takes a request now, and when one may again."""
+        """Return the refusal for a service that has no available target."""
         wait_s = self.registry.throttled_s(service, now_s, is_last)
         if wait_s:
-            return Refusal(RefusalKind.OVERLOADED, wait_s, "targets hold back")
+            return Refusal(RefusalKind.OVERLOADED, wait_s, "all targets throttled")
         kind = RefusalKind.UNAVAILABLE if tried else RefusalKind.NOT_READY
-        return Refusal(kind, DEFAULT_RETRY_S, "no target")
+        return Refusal(kind, DEFAULT_RETRY_S, "no target available")
 
     def now_s(self) -> float:
-        """Return the loop's clock."""
+        """Return the time of the event loop's clock."""
         return asyncio.get_running_loop().time()
 
     def occupy(
@@ -205,7 +239,7 @@
         release: ReleaseSlot | None = None,
         start_deadline_s: float | None = None,
     ) -> AllocatedSlot:
-        """Count a request at a target until it is released."""
+        """Count a request as in flight at a target until its slot is released."""
         sent_s = self.now_s()
         target.record_sent(sent_s)
 
@@ -222,27 +256,29 @@
     async def allocate_plain(
         self, targets: list[Target], now_s: float, is_last: bool
     ) -> AllocatedSlot | Refusal:
-        """Take the least loaded plain target whose stated rate allows it."""
+        """Use the least loaded plain target whose advertised rate permits a request."""
         order = rank_targets(
-            targets, plain_load, self.surroundings, self.random.random, now_s
+            targets, plain_load, self.location, self.random.random, now_s
         )
         waits_s: list[float] = []
         for target in order:
             if target.outstanding >= target.slots:
                 continue
             wait_s = await self.rate_permits.wait_s(target, now_s)
-            # What the target said to others may have come meanwhile.
+            # Signals in responses to other requests may have arrived meanwhile.
             wait_s = max(wait_s, target.wait_s(self.now_s(), is_last))
             if not wait_s:
                 return self.occupy(target, 0)
             if wait_s < float("inf"):
                 waits_s.append(wait_s)
         if waits_s:
-            return Refusal(RefusalKind.OVERLOADED, min(waits_s), "targets hold back")
-        return Refusal(RefusalKind.OVERLOADED, DEFAULT_RETRY_S, "targets full")
+            return Refusal(
+                RefusalKind.OVERLOADED, min(waits_s), "all targets throttled"
+            )
+        return Refusal(RefusalKind.OVERLOADED, DEFAULT_RETRY_S, "all targets full")
 
     def report_rate(self, target: Target, now_s: float) -> None:
-        """Tell whoever holds a target's limit what it states now."""
+        """Report a target's advertised rate to the owner of its rate limit."""
         self.rate_permits.report_rate(target, self.sidecars.link_to(target), now_s)
 
     # -- engines ---------------------------------------------------------
@@ -255,7 +291,7 @@
         now_s: float,
         is_last: bool,
     ) -> AllocatedSlot | Refusal:
-        """Ask sidecars in turn for a place."""
+        """Ask the sidecars of engines for a slot, one after the other."""
         denials = Denials()
         for target in self.eligible_engines(targets, now_s):
             wait_s = max(
@@ -282,17 +318,18 @@
                     return self.use_grant(
                         link, admitted.request, target, engine, answer
                     )
-                # The engine's word to this instance came after its sidecar's.
+                # The engine asked this entry for a cool-down after its sidecar had
+                # granted the slot.
                 self.sidecars.release(link, admitted.request.request_id)
                 denials.add_throttled(wait_s)
                 continue
             denials.add(answer)
             if answer is not None and answer.limited:
                 self.rate_permits.record_at_limit(target, answer.retry_ms / 1000, now_s)
-        return Refusal(RefusalKind.OVERLOADED, denials.retry_s, "no place in time")
+        return Refusal(RefusalKind.OVERLOADED, denials.retry_s, "no slot in time")
 
     def eligible_engines(self, targets: list[Target], now_s: float) -> list[Target]:
-        """Return the engines whose sidecars may grant a place, the best one first."""
+        """Return the engines whose sidecars may grant a slot, best first."""
         eligible = (
             target
             for target in targets
@@ -301,7 +338,7 @@
         return rank_targets(
             eligible,
             lambda target: self.sidecars.load_of(target, now_s),
-            self.surroundings,
+            self.location,
             self.random.random,
             now_s,
         )
@@ -309,11 +346,11 @@
     def make_reservation(
         self, admitted: Admitted, engine: Engine, target: Target, is_last: bool
     ) -> messages.Reserve:
-        """Make the question for a place, by the time that is left now.
+        """Make the slot request for a sidecar, based on the time left now.
 
-        Load: a request that waited in vain at one engine is offered to the next.
-        Harm prevented: with the time that it had at first it is admitted there, and
-        comes late in a place that another would have used in time.
+        A request that waited at one engine and was denied is offered to the next one.
+        With the time budget that it had at first, it would be admitted there, miss its
+        objective, and occupy a slot in which another request would have met its own.
         """
         now_s = self.now_s()
         urgency = urgency_of(admitted, engine, now_s)
@@ -337,7 +374,7 @@
         engine: Engine,
         answer: messages.Reserved,
     ) -> AllocatedSlot | Refusal:
-        """Use a granted place, if its version of the weights still may serve."""
+        """Use a granted slot, unless the grace period of its version is over."""
 
         def release(outcome: SendOutcome = SendOutcome.UNKNOWN) -> None:
             cooling_down = target.cooldown.wait_s(self.now_s()) > 0
@@ -348,7 +385,9 @@
             return self.occupy(target, answer.version, release)
         if left_ms <= VERSION_END_MARGIN_MS:
             release()
-            return Refusal(RefusalKind.UNAVAILABLE, DEFAULT_RETRY_S, "old weights")
+            return Refusal(
+                RefusalKind.UNAVAILABLE, DEFAULT_RETRY_S, "weights superseded"
+            )
         now_s = self.now_s()
         start_deadline_s = now_s + (left_ms - VERSION_END_MARGIN_MS) / 1000
         return self.occupy(target, answer.version, release, start_deadline_s)
@@ -356,7 +395,7 @@
     def allocate_without_sidecar(
         self, target: Target, engine: Engine
     ) -> AllocatedSlot | None:
-        """Use an engine without its sidecar, for few requests at once."""
+        """Use an engine without asking its sidecar, for few requests at a time."""
         version = target.state.version
         if target.outstanding >= MAX_WITHOUT_SIDECAR or not version:
             return None
@@ -371,24 +410,24 @@
         return self.occupy(target, version)
 
     def version_left_ms(self, model: str, version: int) -> float | None:
-        """Return how long requests may begin on a version; None without an end."""
-        replaced_s = self.follower.versions.replaced_at(model, version)
-        if replaced_s is None:
+        """Return how long requests may still start on a version; None for no limit."""
+        superseded_s = self.follower.versions.replaced_at(model, version)
+        if superseded_s is None:
             return None
-        return self.settings.old_version_ms - (steady_s() - replaced_s) * 1000
+        return self.settings.old_version_ms - (steady_s() - superseded_s) * 1000
 
 
 def plain_load(target: Target) -> Load:
-    """Return a plain target's load: what this entry has there."""
+    """Return a plain target's load: the in-flight requests of this entry there."""
     return Load(target.outstanding, target.slots)
 
 
 def urgency_of(admitted: Admitted, engine: Engine, now_s: float) -> Urgency:
-    """Return how long the first event may take, and the rank of a request.
+    """Return how long the first event may take, and the priority of a request.
 
-    Load: callers that were refused come back, while new ones come too. One
-    whose objective has passed gains little by going first, and each new one
-    that it delays loses much; so it waits behind those that can be in time.
+    Under overload, refused callers retry while new requests arrive. A request whose
+    objective has passed gains little from going first, while each new request that it
+    delays may miss its objective. So it queues behind those that can still meet it.
     """
     request, priority = admitted.request, admitted.priority
     waited_ms = (now_s - request.arrived_s) * 1000
@@ -396,7 +435,7 @@
     if left_ms > 0 and not admitted.returned:
         return Urgency(left_ms, priority, False)
     run_ms = DECODE_TIME_FACTOR * request.answer_tokens * engine.step_ms
-    rest_ms = request.max_wait_s * 1000 - waited_ms - LATENCY_MARGIN_MS - run_ms
+    slack_ms = request.max_wait_s * 1000 - waited_ms - LATENCY_MARGIN_MS - run_ms
     return Urgency(
-        max(MIN_LATE_WAIT_MS, rest_ms), priority + LATE_PRIORITY_OFFSET, True
+        max(MIN_LATE_WAIT_MS, slack_ms), priority + LATE_PRIORITY_OFFSET, True
     )
--- a/src/wisteriapulley/direct/types.py
+++ b/src/wisteriapulley/direct/types.py
@@ -1,4 +1,4 @@
-"""What an entry takes from callers and targets, whatever format they speak."""
+"""Requests, responses and errors of an entry, independent of the wire format."""
 
 from collections.abc import AsyncIterator
 from enum import Enum
@@ -10,33 +10,33 @@
 
 
 class CallerRequest(NamedTuple):
-    """One attempt of a caller, read whole.
+    """One attempt of a caller, read completely.
 
     Attributes
     ----------
     request_id : str
         The caller's id of this attempt; each attempt has its own.
     method, target : str
-        As on the request line; the target is passed on unchanged.
+        As on the request line; the request target is forwarded unchanged.
     host, path : str
-        What selects the route: host without port, target without query.
+        Select the route: host without port, request target without query.
     headers : Headers
-        To be passed on, in order; those of the connection, of the caller's key
-        and those that the entry sets itself are left out.
+        Headers to forward, in order, without connection headers, the caller's key
+        and the headers that the entry sets itself.
     body : bytes
-        The whole body.
+        The complete body.
     key : str
-        The caller's key; empty without one.
+        API key of the caller; empty without one.
     arrived_s : float
         When the request was read, on the loop's clock.
-    patience_s : float
+    max_wait_s : float
         How long the caller waits from then on.
     prompt_tokens : int
-        Tokens of the prompt; 0 where the caller does not say.
+        Tokens in the prompt; 0 if the caller did not state it.
     answer_tokens : int
-        Tokens of the answer, as the caller expects; 0 where it does not say.
+        Expected tokens in the response; 0 if the caller did not state it.
     resume_after : str
-        Id of the last event that the caller holds; empty for a whole stream.
+        Id of the last event that the caller has; empty for a complete stream.
     """
 
     request_id: str
@@ -55,16 +55,16 @@
 
 
 class Refusal(NamedTuple):
-    """Final word on a request without a target's answer.
+    """Final result of a request that gets no response from a target.
 
     Attributes
     ----------
     kind : RefusalKind
-        Why.
+        Kind of refusal.
     retry_s : float
-        When to come back; 0 where coming back does not help.
+        When the caller may retry; 0 if a retry does not help.
     reason : str
-        For the log and the caller.
+        Text for the log and the caller.
     """
 
     kind: "RefusalKind"
@@ -73,12 +73,12 @@
 
 
 class RefusalKind(Enum):
-    """Why a request gets no target's answer.
+    """Why a request gets no response from a target.
 
-    `OVERLOADED`, `UNAVAILABLE`, `NOT_READY` and `QUARANTINED` promise that it did
-    not run and never will: no place in time, something missing that another attempt
-    may find, an entry that knows no routing table or target yet, or a request under
-    which targets end. `FAILED` and `TIMED_OUT` promise nothing.
+    `OVERLOADED`, `UNAVAILABLE`, `NOT_READY` and `QUARANTINED` guarantee that the
+    request did not run and will not run: no slot was free in time, something was
+    missing that another attempt may find, the entry has no routing table or target
+    yet, or the request crashes targets. `FAILED` and `TIMED_OUT` guarantee nothing.
     """
 
     NO_ROUTE = "no_route"
@@ -99,18 +99,18 @@
     address : str
         Host and port.
     target_id : str
-        Incarnation that must be there; any other one refuses.
+        Id of the expected target; an instance with another id rejects the request.
     account : str
-        Client account; empty where there is none.
+        Client account; empty without one.
     remaining_s : float
-        Time that the target gets.
+        Time budget of the target.
     version : int
-        Version of weights that must be there; 0 for any.
+        Expected version of the weights; 0 for any.
     resume_after : str
-        Id of the last event that is not needed again.
+        Id of the last event that the caller already has.
     fresh_connection : bool
-        Whether no kept connection may be used: the target may have closed it,
-        and what was sent on it may have run or not.
+        Whether to open a new connection. The target may have closed a kept-alive one,
+        and then it is unknown whether a request sent on it ran.
     """
 
     address: str
@@ -123,30 +123,30 @@
 
 
 class NotSentError(Exception):
-    """No connection to the target: the request did not run."""
+    """The target could not be reached; the request did not run."""
 
 
 class BrokenAnswerError(Exception):
-    """The target's answer did not come, or not whole: it may have run."""
+    """The response is missing or incomplete; the request may have run."""
 
 
 class TargetAnswer(Protocol):
-    """An answer whose head has arrived.
+    """A target's response of which status and headers have arrived.
 
     Attributes
     ----------
     status : int
         HTTP status.
     headers : Headers
-        To be passed on to the caller.
+        Headers to forward to the caller.
     length : int or None
-        Bytes of the body, where the target says.
+        Bytes of the body, if the target states it.
     not_run : bool
-        Whether the target says that it did not run the request.
+        Whether the target states that it did not run the request.
     other_instance : bool
-        Whether another incarnation has the address.
-    says : Statements
-        What the target says of itself.
+        Whether another instance has the address now.
+    signals : ResponseSignals
+        Signals in the response headers about the target itself.
     """
 
     status: int
@@ -157,52 +157,52 @@
     signals: ResponseSignals
 
     def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the body as it arrives.
 
         Raises
         ------
         BrokenAnswerError
-            It ended early.
+            The body ended early.
         """
 
     def close(self) -> None:
-        """Drop the connection unless the answer was read whole."""
+        """Close the connection unless the response was read completely."""
 
 
 class TargetClient(Protocol):
     """Sends requests to targets."""
 
     async def send(self, request: CallerRequest, plan: SendPlan) -> TargetAnswer:
-        """Send a request and wait for the head of its answer.
+        """Send a request and wait for the status and headers of its response.
 
         Raises
         ------
         NotSentError
             Nothing was sent.
         BrokenAnswerError
-            It was sent, and no head came.
+            The request was sent, but no status and headers arrived.
         """
 
 
 class CallerAnswer(Protocol):
-    """Where the answer to one caller goes.
+    """Response to one caller.
 
     Attributes
     ----------
     started : bool
-        Whether the head has left.
+        Whether status and headers were sent.
     """
 
     started: bool
 
     async def start(self, status: int, headers: Headers, length: int | None) -> None:
-        """Send the head."""
+        """Send status and headers."""
 
     async def write(self, data: bytes) -> None:
         """Send a part of the body."""
 
     async def finish(self) -> None:
-        """Send the end."""
+        """End the response."""
 
     def cut(self) -> None:
-        """Close the connection, so that the answer does not look complete."""
+        """Close the connection, so that the caller sees an incomplete response."""
