--- a/src/wisteriapulley/clocks.py
+++ b/src/wisteriapulley/clocks.py
@@ -1,21 +1,21 @@
-"""The clock that leases and ages are told by."""
+"""The clock for leases and ages."""
 
 import time
 
 
 def steady_s() -> float:
-    """Read seconds that neither jump nor stand still while the instance does.
+    """Return seconds of a clock that never jumps and also counts time in suspension.
 
-    The ordinary monotonic clock does not count the time that an instance was
-    suspended: a lease, or the age of a version, would outlive a suspension on it.
+    The ordinary monotonic clock does not count the time that an instance is suspended,
+    so a lease or the grace period of a version would be extended by a suspension.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def steady_ms() -> float:
-    """Read `steady_s` in milliseconds."""
+    """Return `steady_s` in milliseconds."""
     return steady_s() * 1000
 
 
-# When the process began, as early as a module of ours is imported.
+# Start time of the process: the first import of one of the package's modules.
 STARTED_MS = steady_ms()
--- a/src/wisteriapulley/direct/__init__.py
+++ b/src/wisteriapulley/direct/__init__.py
@@ -1,1 +1,1 @@
-"""Entries that send callers' requests to targets themselves, over HTTP."""
+"""Entries that send requests directly to targets over HTTP."""
--- a/src/wisteriapulley/direct/crashes.py
+++ b/src/wisteriapulley/direct/crashes.py
@@ -1,4 +1,4 @@
-"""Finds out under which requests targets end, and stops those that go on."""
+"""Detects requests that crash targets, and quarantines them."""
 
 import asyncio
 import logging
@@ -15,29 +15,34 @@
 
 log = logging.getLogger(__name__)
 
-# A request whose target broke off waits so long for the word whether it has ended
-# before it goes to another one; a host that runs answers sooner.
+# A request whose target broke off waits this long for the crash check before it is sent
+# to another target. A running host responds sooner.
 CRASH_CHECK_WAIT_S = 0.03
-# All requests at a target break off in the same moment: they are told in one frame.
+# All requests at a crashed target break off at the same time, so their updates are
+# sent in one frame.
 UPDATE_BATCH_S = 0.01
 
 
 class CrashTracker:
-    """Requests that were in progress at targets when these ended.
+    """Tracks requests that were in flight at targets when these crashed.
 
     Parameters
     ----------
     key : bytes
-        The fleet key; names requests.
+        The fleet key, which fingerprints of requests are derived from.
     liveness : Liveness
-        Tells whether a target has ended.
-    tell : callable
-        Sends news to the control instances that the entry follows.
+        Checks whether a target has exited.
+    publish : callable
+        Sends updates to the control instances that the entry follows.
 
     Attributes
     ----------
     suspects : CrashSuspects
-        What is known here, of all entries' requests.
+        Suspected requests of all entries, as far as received here.
+    checks : set of asyncio.Task
+        Crash checks in progress.
+    unpublished : set of bytes
+        Fingerprints whose changes are still to be published.
     """
 
     def __init__(
@@ -51,7 +56,7 @@
         self.unpublished: set[bytes] = set()
 
     def fingerprint(self, admitted: Admitted, progress: Progress) -> bytes:
-        """Name a request, once; see `policy.fingerprint`."""
+        """Return the fingerprint of a request; see `policy.fingerprint`."""
         if not progress.fingerprint:
             request, account = admitted.request, admitted.account_name
             progress.fingerprint = fingerprint(
@@ -60,23 +65,23 @@
         return progress.fingerprint
 
     def is_quarantined(self, admitted: Admitted, progress: Progress) -> bool:
-        """Tell whether a request may not be sent to any target.
+        """Return whether a request may not be sent to any target.
 
-        Without suspects no request needs a name, so that long bodies cost nothing.
+        Without suspects no fingerprint is computed, so long bodies cost nothing.
         """
         if not self.suspects.records:
             return False
         return self.suspects.is_quarantined(self.fingerprint(admitted, progress))
 
-    # -- what happens here -----------------------------------------------
+    # -- local events -----------------------------------------------------
 
     async def check_for_crash(
         self, admitted: Admitted, target: Target, progress: Progress
     ) -> None:
-        """Find out whether a target ended under a request that broke off there.
+        """Check whether a target crashed while it ran a request.
 
-        A target that had said that it leaves ends as planned. The word that takes
-        longer than `VERDICT_S` still is taken in when it comes.
+        A target that announced that it is leaving exits as planned. A check that takes
+        longer than `CRASH_CHECK_WAIT_S` continues, and its result is still recorded.
         """
         if target.is_leaving:
             return
@@ -89,7 +94,7 @@
     async def record_if_crashed(
         self, admitted: Admitted, target: Target, progress: Progress
     ) -> None:
-        """Note a request under which a target has ended."""
+        """Record a request if its target has crashed."""
         if not await self.liveness.has_ended(target):
             return
         digest = self.fingerprint(admitted, progress)
@@ -110,36 +115,36 @@
         )
 
     def record_answered(self, admitted: Admitted, progress: Progress) -> None:
-        """Clear a request that a target answered whole."""
+        """Clear a request that a target completed."""
         if not self.suspects.records:
             return
         digest = self.fingerprint(admitted, progress)
         if self.suspects.record_answer(digest, steady_s()):
             self.schedule_update(digest)
 
-    # -- what others know ------------------------------------------------
+    # -- updates between instances ----------------------------------------
 
     def schedule_update(self, digest: bytes) -> None:
-        """Tell of a request, with all that changes in these milliseconds."""
+        """Schedule an update of a request, batched with concurrent changes."""
         if not self.unpublished:
             asyncio.get_running_loop().call_later(UPDATE_BATCH_S, self.publish_pending)
         self.unpublished.add(digest)
 
     def publish_pending(self) -> None:
-        """Send what changed."""
+        """Publish all pending changes."""
         changed, self.unpublished = self.unpublished, set()
         self.publish(self.make_update(changed))
 
     def full_update(self) -> SuspectNews:
-        """Make what an instance is told that is followed from now on."""
+        """Return the update for a control instance that is followed from now on."""
         return self.make_update(self.suspects.top_suspects())
 
     def make_update(self, digests: Iterable[bytes]) -> SuspectNews:
-        """Make the news of some requests."""
+        """Return an update about some requests."""
         return SuspectNews(tuple(self.suspects.updates(steady_s(), digests)))
 
     def apply_update(self, update: SuspectNews) -> None:
-        """Take in what control instances tell."""
+        """Apply an update received from a control instance."""
         for digest in self.suspects.merge_updates(update.suspects, steady_s()):
             if self.suspects.is_quarantined(digest):
                 log.warning(
@@ -147,5 +152,5 @@
                 )
 
     def sweep(self) -> None:
-        """Forget what is long past."""
+        """Remove expired records."""
         self.suspects.remove_expired(steady_s())
--- a/src/wisteriapulley/direct/dispatch.py
+++ b/src/wisteriapulley/direct/dispatch.py
@@ -1,4 +1,4 @@
-"""Takes one request from its arrival to its final word."""
+"""Dispatches requests of callers to targets, with retries, until a final result."""
 
 import asyncio
 import logging
@@ -30,13 +30,13 @@
 
 log = logging.getLogger(__name__)
 
-# A request that comes before the first routing table waits for it so long: an entry
-# that starts alone has it sooner, and the wait stays below the objectives.
+# How long a request waits for the first routing table. A single starting entry
+# receives it sooner, and the wait stays below the latency objectives.
 FIRST_TABLE_WAIT_S = 0.3
-# When to come back to an entry that has no table, or knows no target yet. Callers
-# are spread over more than this: see `policy.comeback`.
+# Retry time while this entry has no routing table or target yet. The retries of callers
+# are spread over a longer time; see `policy.retry_after`.
 STARTING_RETRY_S = 0.5
-# After a failure that left the request not run.
+# Retry time after a failure in which the request did not run.
 FAILED_RETRY_S = 0.3
 RESULT_CODES = {
     RefusalKind.NO_ROUTE: ResultCode.NO_ROUTE,
@@ -48,33 +48,40 @@
     RefusalKind.FAILED: ResultCode.MAY_HAVE_RUN,
     RefusalKind.TIMED_OUT: ResultCode.DEADLINE_EXCEEDED,
 }
-QUARANTINED_REFUSAL = Refusal(
-    RefusalKind.QUARANTINED, reason="targets end under this request"
-)
-# Refusals after which coming back at once would meet the same again.
+QUARANTINED_REFUSAL = Refusal(RefusalKind.QUARANTINED, reason="request crashes targets")
+# Refusals after which an immediate retry would be refused again.
 SPREAD_RETRY_KINDS = frozenset({RefusalKind.OVERLOADED, RefusalKind.NOT_READY})
 
 
 class Dispatcher:
-    """Requests of one entry.
+    """Dispatches the requests of one entry.
 
     Parameters
     ----------
     settings : DirectSettings
-        Budgets.
+        Settings of the entry, with the retry budget.
     registry : TargetRegistry
-        Targets.
-    placing : Placing
-        Finds places.
+        Known targets.
+    allocator : SlotAllocator
+        Allocates slots at targets.
     client : TargetClient
-        Sends.
+        Sends requests to targets.
     metrics : EntryMetrics
-        Counts.
-    crashes : CrashWatch
-        Knows under which requests targets end.
+        Metrics of requests.
+    crashes : CrashTracker
+        Tracks requests that crash targets.
     is_confirmed : callable, optional
-        Tells whether a quorum has confirmed the table since this entry started;
-        without it, every table counts as confirmed.
+        Returns whether a quorum has confirmed the routing table since this entry
+        started. By default, every table counts as confirmed.
+
+    Attributes
+    ----------
+    retry_budgets : dict of str to SharedRetryBudget
+        Retry budgets by service.
+    entry_count : int
+        Largest number of entries in the fleet seen so far.
+    returning : dict of str to RetryDetector
+        Detects retries of refused callers, by route.
     """
 
     def __init__(
@@ -93,24 +100,22 @@
         self.registry = registry
         self.allocator = allocator
         self.crashes = crashes
-        hearing = SignalRecorder(allocator.report_rate)
-        self.sender = Sender(registry, client, metrics, crashes, hearing)
+        recorder = SignalRecorder(allocator.report_rate)
+        self.sender = Sender(registry, client, metrics, crashes, recorder)
         self.index: RouteIndex | None = None
         self.has_table = asyncio.Event()
         self.retry_budgets: dict[str, SharedRetryBudget] = {}
-        # Of the whole fleet, as far as known.
         self.entry_count = 0
-        # By route.
         self.returning: defaultdict[str, RetryDetector] = defaultdict(RetryDetector)
         self.random = random.Random(settings.node_id)
 
     def set_table(self, table: RoutingTable) -> None:
-        """Use a newer routing table."""
+        """Switch to a newer routing table."""
         self.index = RouteIndex(table)
         self.has_table.set()
 
     def retry_budget(self, service: str) -> SharedRetryBudget:
-        """Return a service's budget of second sends."""
+        """Return the retry budget of a service."""
         if service not in self.retry_budgets:
             self.retry_budgets[service] = SharedRetryBudget(
                 self.settings.retry_ratio,
@@ -121,7 +126,7 @@
         return self.retry_budgets[service]
 
     def set_entry_count(self, entry_count: int) -> None:
-        """Take in how many entries share the budgets."""
+        """Update the number of entries that share the retry budgets."""
         self.entry_count = max(self.entry_count, entry_count)
         for budget in self.retry_budgets.values():
             budget.update_entries(self.entry_count)
@@ -129,7 +134,7 @@
     # -- admission -------------------------------------------------------
 
     def admit(self, request: CallerRequest) -> Admitted | Refusal:
-        """Find the route and the account of a request."""
+        """Find the route and the client account of a request."""
         if self.index is None:
             reason = "no routing table yet"
             return Refusal(RefusalKind.NOT_READY, STARTING_RETRY_S, reason)
@@ -139,28 +144,28 @@
         account = self.index.find_account(request.key) if request.key else None
         if account is None and self.index.table.needs_keys and not route.public:
             return self.refuse_unlisted(RefusalKind.BAD_KEY, "unknown key")
-        # A caller that states no time, or too long a one, waits for the route's limit.
+        # The route's limit applies to a caller without a deadline or with a longer one.
         limit_s = min(route.timeout_ms / 1000, request.max_wait_s)
         arrived_s = request.arrived_s
         returned = self.returning[route.name].is_retry(limit_s, arrived_s)
         return Admitted(request, route, account, arrived_s + limit_s, returned)
 
     def refuse_unlisted(self, kind: RefusalKind, reason: str) -> Refusal:
-        """Refuse for good only by a table that a quorum has confirmed.
+        """Refuse a request whose route or key is not in the routing table.
 
-        Until then the table may be older than the one in force, and what it lacks
-        may have been added.
+        The refusal is final only if a quorum has confirmed the table. Until then it
+        may be stale, and the route or key may have been added since.
         """
         if self.is_confirmed():
             return Refusal(kind, reason=reason)
-        reason = f"{reason} in a table not confirmed yet"
+        reason = f"{reason} in unconfirmed routing table"
         return Refusal(RefusalKind.NOT_READY, STARTING_RETRY_S, reason)
 
     def choose_service(self, route: Route, now_s: float) -> str:
-        """Choose by weight among the services that have a target now."""
+        """Choose by weight among the services that have an available target."""
         splits = [split for split in route.splits if split.weight > 0]
-        able = [s for s in splits if self.registry.candidates(s.service, now_s)]
-        pool = able or splits
+        available = [s for s in splits if self.registry.candidates(s.service, now_s)]
+        pool = available or splits
         chosen = self.random.choices(pool, [split.weight for split in pool])
         return chosen[0].service
 
@@ -169,9 +174,9 @@
     async def serve(
         self, request: CallerRequest, answer: CallerAnswer
     ) -> Refusal | None:
-        """Answer a request, or return why it gets no answer of a target.
+        """Serve a request, or return why no target responded to it.
 
-        After `answer` was started nothing is returned: it is finished or cut.
+        Once `answer` has started, the result is None: it was finished or cut.
         """
         await self.wait_for_table(request)
         admitted = self.admit(request)
@@ -183,7 +188,7 @@
             async with asyncio.timeout_at(admitted.deadline_s):
                 refusal = await self.send_until_answered(admitted, service, answer)
         except TimeoutError:
-            refusal = Refusal(RefusalKind.TIMED_OUT, reason="time limit")
+            refusal = Refusal(RefusalKind.TIMED_OUT, reason="request timed out")
         except asyncio.CancelledError:
             log.info("caller left", extra=fields(request.request_id))
             raise
@@ -202,7 +207,7 @@
         return self.finish_refusal(request, refusal)
 
     async def wait_for_table(self, request: CallerRequest) -> None:
-        """Let a request wait for the first routing table, but not for long."""
+        """Wait a short time for the first routing table."""
         if self.index is not None:
             return
         wait_s = min(FIRST_TABLE_WAIT_S, request.max_wait_s)
@@ -210,20 +215,20 @@
             async with asyncio.timeout(wait_s):
                 await self.has_table.wait()
         except TimeoutError:
-            # Refused by `admit`, which also logs it.
+            # `admit` refuses the request, and the refusal is logged.
             return
 
     def count_result(
         self, admitted: Admitted, service: str, refusal: Refusal | None
     ) -> None:
-        """Count how a request ended, by account and class."""
+        """Count the result of a request by client account and traffic class."""
         code = RESULT_CODES[refusal.kind] if refusal is not None else ResultCode.OK
         took_s = self.now_s() - admitted.request.arrived_s
         traffic_class = f"{service}/{admitted.route.kind.value}"
         self.metrics.record_response(admitted.account_name, traffic_class, code, took_s)
 
     def finish_refusal(self, request: CallerRequest, refusal: Refusal) -> Refusal:
-        """Log a refusal, and fit its time to come back to the caller's."""
+        """Log a refusal and fit its retry time to the time that the caller has left."""
         waited_s = self.now_s() - request.arrived_s
         left_s = request.max_wait_s - waited_s
         retry_s = 0.0
@@ -246,36 +251,36 @@
         return refusal._replace(retry_s=retry_s)
 
     def now_s(self) -> float:
-        """Return the loop's clock."""
+        """Return the time of the event loop's clock."""
         return asyncio.get_running_loop().time()
 
     async def send_until_answered(
         self, admitted: Admitted, service: str, answer: CallerAnswer
     ) -> Refusal | None:
-        """Send to one target after another, as far as the route allows."""
+        """Send to one target after the other, as often as the route permits."""
         progress = Progress(admitted.request, service, admitted.route.attempts)
         refusal: Refusal | None = None
         while progress.has_sends_left:
             if self.crashes.is_quarantined(admitted, progress):
                 return self.final_refusal(admitted, progress, QUARANTINED_REFUSAL)
-            place = await self.allocate_slot(admitted, progress)
-            if isinstance(place, Refusal):
+            slot = await self.allocate_slot(admitted, progress)
+            if isinstance(slot, Refusal):
                 return self.final_refusal(
-                    admitted, progress, merge_refusals(refusal, place)
+                    admitted, progress, merge_refusals(refusal, slot)
                 )
             if self.crashes.is_quarantined(admitted, progress):
-                # What others tell may have come while it waited for the place.
-                place.release()
+                # Updates of other entries may have arrived during the slot allocation.
+                slot.release()
                 return self.final_refusal(admitted, progress, QUARANTINED_REFUSAL)
             if progress.sends and not self.retry_budget(service).spend(self.now_s()):
-                place.release()
+                slot.release()
                 return self.final_refusal(admitted, progress, refusal)
             progress.sends += 1
-            self.log_placed(admitted, place, progress)
+            self.log_placed(admitted, slot, progress)
             try:
-                refusal = await self.sender.send(admitted, place, progress, answer)
+                refusal = await self.sender.send(admitted, slot, progress, answer)
             finally:
-                place.release(progress.outcome)
+                slot.release(progress.outcome)
             if refusal is None:
                 return None
             if progress.may_have_run and not admitted.route.repeatable:
@@ -285,7 +290,7 @@
     def log_placed(
         self, admitted: Admitted, slot: AllocatedSlot, progress: Progress
     ) -> None:
-        """Log where a request goes, and what decided it."""
+        """Log the target of a request, and the state that the choice depended on."""
         target, now_s = slot.target, self.now_s()
         log.info(
             "placed",
@@ -312,7 +317,7 @@
     async def allocate_slot(
         self, admitted: Admitted, progress: Progress
     ) -> AllocatedSlot | Refusal:
-        """Find a place for the next send."""
+        """Allocate a slot for the next send."""
         service, now_s = progress.service, self.now_s()
         engine = self.index.services[service].engine
         is_last = progress.is_last_send or not self.retry_budget(service).has_budget(
@@ -325,8 +330,11 @@
     def final_refusal(
         self, admitted: Admitted, progress: Progress, refusal: Refusal | None
     ) -> Refusal:
-        """Promise that a request did not run only where that is sure."""
-        refusal = refusal or Refusal(RefusalKind.FAILED, reason="no attempt left")
+        """Return the final refusal.
+
+        It guarantees that the request did not run only if that is certain.
+        """
+        refusal = refusal or Refusal(RefusalKind.FAILED, reason="no send left")
         if progress.may_have_run:
             return Refusal(RefusalKind.FAILED, reason=refusal.reason)
         if refusal.kind is RefusalKind.FAILED:
@@ -335,9 +343,10 @@
 
 
 def merge_refusals(refusal: Refusal | None, no_slot: Refusal) -> Refusal:
-    """Return the last word on a request that no further target can be found for.
+    """Return the final refusal of a request that can't get another slot.
 
-    One that was turned away is told when there may be a place for it.
+    A request that was rejected by its last target gets the time until a slot may be
+    free.
     """
     if refusal is None:
         return no_slot
--- a/src/wisteriapulley/direct/liveness.py
+++ b/src/wisteriapulley/direct/liveness.py
@@ -1,4 +1,4 @@
-"""Tells a target that has ended from a connection that has."""
+"""Distinguishes a target that has exited from a connection that was lost."""
 
 import asyncio
 import contextlib
@@ -10,13 +10,13 @@
 
 log = logging.getLogger(__name__)
 
-# A host that runs answers a connection within a round trip; one without power, or
-# behind a cut link, never does.
+# A running host accepts or refuses a connection within a round trip. A host without
+# power or behind a network partition does neither.
 CONNECT_TIMEOUT_S = 0.4
 
 
 async def refuses_connections(address: str) -> bool:
-    """Tell whether nothing listens at an address whose host answers.
+    """Return whether a reachable host refuses connections to an address.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
     except ConnectionRefusedError:
         return True
     except (OSError, ValueError) as error:
-        log.info("%s neither takes nor refuses connections: %r", address, error)
+        log.info("%s neither accepts nor refuses connections: %r", address, error)
         return False
     writer.close()
     with contextlib.suppress(OSError):
@@ -39,12 +39,17 @@
 
 
 class Liveness:
-    """Questions whether targets have ended, each asked once at a time.
+    """Checks whether targets have exited, with one probe per address at a time.
 
     Parameters
     ----------
     refuses : callable
-        Tells whether nothing listens at an address.
+        Returns whether connections to an address are refused.
+
+    Attributes
+    ----------
+    probes : dict of str to asyncio.Task
+        Probes in progress, by address.
     """
 
     def __init__(self, refuses: Callable[[str], Awaitable[bool]] = refuses_connections):
@@ -52,10 +57,9 @@
         self.probes: dict[str, asyncio.Task[bool]] = {}
 
     async def has_ended(self, target: Target) -> bool:
-        """Tell whether a target's process has ended.
+        """Return whether a target's process has exited.
 
-        Load: all requests at a target break off in the same moment. One connection
-        tells the answer for all of them.
+        All requests at a target break off at the same time, and share one probe.
         """
         if target.replaced:
             return True
--- a/src/wisteriapulley/direct/rate_permits.py
+++ b/src/wisteriapulley/direct/rate_permits.py
@@ -1,4 +1,4 @@
-"""An entry's part in the limits of targets that state a rate."""
+"""Requests rate permits for targets that advertise a rate."""
 
 import logging
 from collections.abc import Callable
@@ -11,75 +11,81 @@
 
 log = logging.getLogger(__name__)
 
-# A control instance that runs answers within two round trips; a request that is held
-# for longer loses a third of its objective.
+# A running control instance responds within two round trips; waiting for longer would
+# cost a request a third of its latency objective.
 PERMIT_TIMEOUT_S = 0.15
-# A target at its limit is asked for again after so long at the latest: its rate may
-# have changed.
+# A permit for a target at its limit is requested again after at most this long, since
+# its rate may have changed.
 MAX_RECHECK_S = 1.0
-# Of a stated rate that one entry lets pass while nobody who holds the limit answers:
-# a fleet of so many entries still keeps the whole.
+# Fraction of an advertised rate that one entry uses on its own while no rate owner
+# responds. A fleet of up to 20 entries still keeps to the full rate.
 LOCAL_RATE_FRACTION = 1 / 20
 
 
 class RatePermitClient:
-    """Questions whether a request may pass to a target that states a rate.
+    """Requests rate permits from control instances.
 
     Parameters
     ----------
     links : callable
-        Returns the open links to control instances, the nearest first.
+        Returns the open links to control instances, nearest first.
+
+    Attributes
+    ----------
+    local_limits : RateLimits
+        Limits that apply while no control instance responds.
+    at_limit_until_s : dict of str to float
+        By incarnation of a target, when a permit may be requested again.
     """
 
     def __init__(self, links: Callable[[], list[Link]]):
         self.links = links
         self.local_limits = RateLimits(LOCAL_RATE_FRACTION)
-        # By start of the target: when it may be asked for again.
         self.at_limit_until_s: dict[str, float] = {}
 
     async def wait_s(self, target: Target, now_s: float) -> float:
         """Return how long until a request may be sent to a plain target; 0 for now.
 
-        A target that has just been found at its limit is not asked for again until
-        then, so that requests are refused at once.
+        While a target is known to be at its limit, no permit is requested, so that
+        requests are refused at once.
         """
         if target.rate.per_s is None:
             return 0.0
-        at_limit_s = self.full_s(target, now_s)
+        at_limit_s = self.at_limit_s(target, now_s)
         if at_limit_s:
             return at_limit_s
-        passage = await self.request_permit(target, now_s)
-        if passage is None:
+        permit = await self.request_permit(target, now_s)
+        if permit is None:
             return self.local_wait_s(target, now_s)
-        if not passage.limited and target.rate.observed_s <= now_s:
+        if not permit.limited and target.rate.observed_s <= now_s:
             target.rate.clear(now_s)
-        if passage.granted:
+        if permit.granted:
             return 0.0
-        wait_s = passage.wait_ms / 1000
+        wait_s = permit.wait_ms / 1000
         self.record_at_limit(target, wait_s, now_s)
         return wait_s
 
-    def full_s(self, target: Target, now_s: float) -> float:
-        """Return how long a target is known to be at its limit."""
+    def at_limit_s(self, target: Target, now_s: float) -> float:
+        """Return how long a target is known to stay at its limit."""
         return max(0.0, self.at_limit_until_s.get(target.incarnation, now_s) - now_s)
 
     def record_at_limit(self, target: Target, wait_s: float, now_s: float) -> None:
-        """Note that a target is at its limit for some time."""
+        """Record that a target is at its limit for some time."""
         self.at_limit_until_s[target.incarnation] = now_s + min(wait_s, MAX_RECHECK_S)
 
     async def request_permit(self, target: Target, now_s: float) -> Passage | None:
-        """Ask for a passage; None where nobody answers."""
+        """Request a rate permit; None if no control instance responds."""
         age_ms = max(0, int((now_s - target.rate.observed_s) * 1000))
         query = PassageQuery(target.incarnation, target.rate.per_s, age_ms)
         for link in self.links():
             try:
                 return (await link.request(query, PERMIT_TIMEOUT_S)).message
             except WisteriapulleyError as error:
-                log.info("no passage from %s: %s", link.peer_id, error)
+                log.info("no rate permit from %s: %s", link.peer_id, error)
         return None
 
     def local_wait_s(self, target: Target, now_s: float) -> float:
-        """Return how long until a request may pass without anybody else's word."""
+        """Return how long until the local limit permits a request; 0 for now."""
         self.local_limits.update(
             target.incarnation, target.rate.per_s, target.rate.observed_s
         )
@@ -88,32 +94,33 @@
         return self.local_limits.wait_s(target.incarnation, now_s)
 
     def report_rate(self, target: Target, link: Link | None, now_s: float) -> None:
-        """Tell whoever holds a target's limit what it states now.
+        """Report the advertised rate of a target to the owner of its limit.
 
         Parameters
         ----------
         target : Target
             The target.
         link : Link or None
-            To its sidecar, which holds the limit; None for a plain target.
+            Link to its sidecar, which owns the limit; None for a plain target, whose
+            rate is reported to the nearest control instance.
         now_s : float
             The loop's clock.
         """
-        holders = [link] if link is not None else self.links()[:1]
-        news = rate_update(target, now_s)
-        for holder in holders:
-            if not holder.closed.is_set():
-                holder.post(news)
+        owners = [link] if link is not None else self.links()[:1]
+        update = rate_update(target, now_s)
+        for owner in owners:
+            if not owner.closed.is_set():
+                owner.post(update)
 
     def sweep(self, now_s: float) -> None:
-        """Forget targets that are long gone."""
+        """Remove expired entries."""
         self.local_limits.remove_expired(now_s)
-        for start, until_s in tuple(self.at_limit_until_s.items()):
+        for incarnation, until_s in tuple(self.at_limit_until_s.items()):
             if until_s <= now_s:
-                del self.at_limit_until_s[start]
+                del self.at_limit_until_s[incarnation]
 
 
 def rate_update(target: Target, now_s: float) -> TargetRate:
-    """Say what a target states, and how long ago that was heard."""
+    """Return the message with a target's advertised rate and its age."""
     age_ms = max(0, int((now_s - target.rate.observed_s) * 1000))
     return TargetRate(target.incarnation, target.rate.per_s or 0.0, age_ms)
--- a/src/wisteriapulley/direct/sending.py
+++ b/src/wisteriapulley/direct/sending.py
@@ -1,4 +1,4 @@
-"""Sends a request to one target, and passes the answer on to its caller."""
+"""Sends a request to one target and relays the response to the caller."""
 
 import asyncio
 import logging
@@ -25,42 +25,42 @@
 
 log = logging.getLogger(__name__)
 
-# A target that sends no first event, or no further one, for so long is taken for
-# dead, and the stream goes on elsewhere. An engine that reads long prompts
-# pauses for some hundred milliseconds.
+# A target that sends no first or next event for this long is considered dead, and the
+# stream resumes at another one. An engine pauses for some hundred milliseconds during
+# the prefill of long prompts.
 STREAM_IDLE_TIMEOUT_S = 1.6
-# Share of a plain request's time after which a silent target is given up for
-# another one; above the slowest ordinary work.
+# Fraction of a plain request's time after which an unresponsive target is abandoned
+# for another one. It is above the slowest normal processing time.
 HEAD_TIMEOUT_FRACTION = 0.5
-# Ordinary work takes up to so long, however short the caller's time is.
+# Normal processing takes up to this long, however short the caller's deadline is.
 MIN_HEAD_TIMEOUT_S = 0.45
-# Less time than this is no use to a target.
+# A request with less time left than this is not sent.
 MIN_SEND_S = 0.05
 HTTP_OK = 200
 SERVER_ERROR = 500
 SERVICE_UNAVAILABLE = 503
 TOO_MANY_REQUESTS = 429
-# When to come back after a target was not reached, or did not take the request:
-# another one, or another entry, can serve it at once.
+# Retry times after a target was unreachable or rejected the request. They are short,
+# since another target or another entry can serve it at once.
 UNREACHABLE_RETRY_S = 0.3
 REJECTED_RETRY_S = 0.2
 
 
 class Sender:
-    """Sends of one entry.
+    """Sends requests of one entry to targets.
 
     Parameters
     ----------
     registry : TargetRegistry
-        Learns how sends end.
+        Records the results of sends.
     client : TargetClient
-        Sends.
+        Sends requests.
     metrics : EntryMetrics
-        Counts.
-    crashes : CrashWatch
-        Learns which requests targets broke off.
-    hearing : Hearing
-        Takes in what targets say of themselves.
+        Records the time to the first event.
+    crashes : CrashTracker
+        Records requests whose target broke off.
+    recorder : SignalRecorder
+        Records the signals in responses.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self.recorder = recorder
 
     def now_s(self) -> float:
-        """Return the loop's clock."""
+        """Return the time of the event loop's clock."""
         return asyncio.get_running_loop().time()
 
     async def send(
@@ -88,12 +88,12 @@
         progress: Progress,
         answer: CallerAnswer,
     ) -> Refusal | None:
-        """Send to one target and pass its answer on.
+        """Send a request to one target and relay its response.
 
         Returns
         -------
         Refusal or None
-            None when the caller has its final answer.
+            None if the caller has its final response.
         """
         target = slot.target
         progress.tried.add(target.target_id)
@@ -115,13 +115,15 @@
             response = await self.wait_for_head(admitted, slot, plan, progress)
         except NotSentError as error:
             target.record_unreachable(self.now_s())
-            reason = f"not sent: {error}"
+            reason = f"target unreachable: {error}"
             return Refusal(RefusalKind.UNAVAILABLE, UNREACHABLE_RETRY_S, reason)
         except (BrokenAnswerError, TimeoutError) as error:
             progress.may_have_run = True
             self.record_no_response(slot)
             await self.crashes.check_for_crash(admitted, target, progress)
-            return Refusal(RefusalKind.FAILED, reason=f"no answer: {error!r}")
+            return Refusal(
+                RefusalKind.FAILED, reason=f"no response from target: {error!r}"
+            )
         if not response.other_instance:
             progress.outcome = outcome_of(response)
             self.recorder.record(target, response.signals, sent_s)
@@ -131,9 +133,10 @@
             response.close()
 
     def record_no_response(self, slot: AllocatedSlot) -> None:
-        """Note that a target broke off, unless the entry itself gave it up.
+        """Record a failure of a target that broke off or did not respond.
 
-        One whose weights had no time left did not fail.
+        It is not a failure if the entry dropped the request, because the grace period
+        of its version of the weights ended.
         """
         if slot.start_deadline_s is None or self.now_s() < slot.start_deadline_s:
             self.registry.record_outcome(slot.target, True, self.now_s())
@@ -141,11 +144,11 @@
     def start_timeout_s(
         self, slot: AllocatedSlot, max_wait_s: float | None
     ) -> float | None:
-        """Return how long to wait for what shows that a request has begun.
+        """Return how long to wait for the first sign that a request has started.
 
-        Load: engines that serve an older version of the weights until its last
-        moment, one of them slower than its sidecar reckons. Harm prevented: a
-        request that begins on weights after their time. It is dropped before.
+        Engines serve a superseded version of the weights until the end of its grace
+        period, and an engine may be slower than its sidecar estimates. A request that
+        has not started by then is dropped, so that none starts on expired weights.
         """
         if slot.start_deadline_s is None:
             return max_wait_s
@@ -159,7 +162,7 @@
         plan: SendPlan,
         progress: Progress,
     ) -> TargetAnswer:
-        """Send, and wait for the head as long as that makes sense."""
+        """Send a request and wait for status and headers until a timeout."""
         max_wait_s = head_timeout_s(
             admitted.route, plan.remaining_s, progress.has_sends_left
         )
@@ -174,23 +177,29 @@
         progress: Progress,
         answer: CallerAnswer,
     ) -> Refusal | None:
-        """Pass an answer on, unless it says that another target may do better."""
+        """Relay a response, unless another target may serve the request."""
         target = slot.target
         if response.other_instance:
             self.registry.record_other_instance(target, self.now_s())
-            reason = "another instance"
+            reason = "another instance at the address"
             return Refusal(RefusalKind.UNAVAILABLE, REJECTED_RETRY_S, reason)
         if response.not_run:
             self.log_rejected(admitted, target, response)
             wait_s = self.registry.throttled_s(progress.service, self.now_s())
             retry_s = max(REJECTED_RETRY_S, wait_s)
-            return Refusal(RefusalKind.OVERLOADED, retry_s, "target refused")
+            return Refusal(
+                RefusalKind.OVERLOADED, retry_s, "target rejected the request"
+            )
         progress.may_have_run = True
         self.registry.record_outcome(target, is_server_error(response), self.now_s())
         if is_server_error(response) and self.may_retry(admitted, progress, answer):
-            return Refusal(RefusalKind.FAILED, reason=f"target said {response.status}")
+            return Refusal(
+                RefusalKind.FAILED, reason=f"target returned status {response.status}"
+            )
         if answer.started and response.status != HTTP_OK:
-            return Refusal(RefusalKind.FAILED, reason=f"target said {response.status}")
+            return Refusal(
+                RefusalKind.FAILED, reason=f"target returned status {response.status}"
+            )
         if admitted.route.kind is RouteKind.STREAM and response.status == HTTP_OK:
             return await self.relay_stream(admitted, slot, response, progress, answer)
         return await self.relay_buffered(admitted, target, response, progress, answer)
@@ -198,7 +207,7 @@
     def may_retry(
         self, admitted: Admitted, progress: Progress, answer: CallerAnswer
     ) -> bool:
-        """Tell whether a failed request may go to another target."""
+        """Return whether a failed request may be sent to another target."""
         left_s = admitted.deadline_s - self.now_s()
         return (
             admitted.route.repeatable
@@ -209,12 +218,12 @@
         )
 
     def has_untried_target(self, progress: Progress) -> bool:
-        """Tell whether a request may go to a target that was not tried."""
+        """Return whether an available target has not been tried yet."""
         candidates = self.registry.candidates(progress.service, self.now_s())
         return any(target.target_id not in progress.tried for target in candidates)
 
     def record_first_event(self, admitted: Admitted, target: Target) -> None:
-        """Note the time to a stream's first event."""
+        """Record the time to the first event of a stream."""
         took_s = self.now_s() - admitted.request.arrived_s
         traffic_class = f"{target.state.service}/{admitted.route.kind.value}"
         self.metrics.record_first_part(admitted.account_name, traffic_class, took_s)
@@ -227,16 +236,16 @@
         progress: Progress,
         answer: CallerAnswer,
     ) -> Refusal | None:
-        """Read an answer whole, then pass it on.
+        """Read a response completely, then relay it.
 
-        An answer that breaks off can then still be had of another target.
+        If the response breaks off, the request can still be sent to another target.
         """
         try:
             body = b"".join([part async for part in response.parts()])
         except BrokenAnswerError as error:
             self.registry.record_outcome(target, True, self.now_s())
             await self.crashes.check_for_crash(admitted, target, progress)
-            return Refusal(RefusalKind.FAILED, reason=f"answer broke off: {error}")
+            return Refusal(RefusalKind.FAILED, reason=f"response broke off: {error}")
         await answer.start(response.status, response.headers, len(body))
         await answer.write(body)
         await answer.finish()
@@ -253,9 +262,10 @@
         progress: Progress,
         answer: CallerAnswer,
     ) -> Refusal | None:
-        """Pass whole events on as they come.
+        """Relay complete events as they arrive.
 
-        Another target can go on behind the last whole event where this one stops.
+        If the stream breaks off, another target can resume it after the last complete
+        event.
         """
         target, events = slot.target, progress.events
         try:
@@ -284,14 +294,14 @@
         progress: Progress,
         answer: CallerAnswer,
     ) -> None:
-        """Pass events on until the stream ends.
+        """Relay events until the stream ends.
 
         Raises
         ------
         BrokenAnswerError
-            It ended early.
+            The stream ended early.
         TimeoutError
-            The target fell silent.
+            No event arrived in time.
         """
         parts = response.parts()
         idle_timeout_s = self.start_timeout_s(slot, STREAM_IDLE_TIMEOUT_S)
@@ -302,20 +312,20 @@
             except StopAsyncIteration:
                 return
             idle_timeout_s = STREAM_IDLE_TIMEOUT_S
-            whole = progress.events.feed(part)
-            if not whole:
+            events = progress.events.feed(part)
+            if not events:
                 continue
             if not answer.started:
                 self.record_first_event(admitted, slot.target)
                 await answer.start(response.status, response.headers, None)
-            await answer.write(whole)
+            await answer.write(events)
 
     # -- logs ------------------------------------------------------------
 
     def log_answered(
         self, admitted: Admitted, target: Target, status: int, events: int = 0
     ) -> None:
-        """Log that a caller has its whole answer."""
+        """Log that a caller has its complete response."""
         took_s = self.now_s() - admitted.request.arrived_s
         log.info(
             "answered",
@@ -331,7 +341,7 @@
     def log_rejected(
         self, admitted: Admitted, target: Target, response: TargetAnswer
     ) -> None:
-        """Log that a target did not run a request, and what it said of itself."""
+        """Log that a target rejected a request, with the signals in its response."""
         signals = response.signals
         log.info(
             "target turned a request away",
@@ -348,7 +358,7 @@
     def log_broken_stream(
         self, admitted: Admitted, target: Target, last_event: str, error: Exception
     ) -> None:
-        """Log that a target's stream ended early."""
+        """Log that the stream of a target ended early."""
         log.info(
             "stream broke off",
             extra=fields(
@@ -361,14 +371,15 @@
 
 
 def is_server_error(response: TargetAnswer) -> bool:
-    """Tell whether a target answers that it failed."""
+    """Return whether a target reported a server error."""
     return response.status >= SERVER_ERROR
 
 
 def outcome_of(response: TargetAnswer) -> SendOutcome:
-    """Tell what a target did with a request.
+    """Return what a target did with a request.
 
-    Other refusals are for the request's sake, and tell nothing of the target.
+    Rejections with other statuses depend on the request and do not indicate the state
+    of the target.
     """
     busy = response.not_run and response.status in (
         SERVICE_UNAVAILABLE,
@@ -382,11 +393,11 @@
 def head_timeout_s(
     route: Route, remaining_s: float, has_sends_left: bool
 ) -> float | None:
-    """Return how long to wait for a head; None for as long as the request has.
+    """Return how long to wait for status and headers; None until the deadline.
 
-    A silent target is given up early only where another one may be asked: the
-    caller of a last send has nothing else to hope for. Streams are given up in any
-    case, since their callers leave after as long a silence.
+    An unresponsive target is abandoned early only if another send is left; otherwise
+    waiting is the only chance of a response. Streams are abandoned in any case, since
+    their callers disconnect after the same idle time.
     """
     if not route.repeatable:
         return None
--- a/src/wisteriapulley/direct/service.py
+++ b/src/wisteriapulley/direct/service.py
@@ -1,4 +1,4 @@
-"""The entry daemon that sends to targets itself."""
+"""The entry daemon that sends requests directly to targets."""
 
 import asyncio
 import logging
@@ -25,21 +25,22 @@
 log = logging.getLogger(__name__)
 
 SWEEP_INTERVAL_S = 1.0
-# Balancers ask once a second and take an instance out after two misses.
+# Load balancers check readiness once a second and remove an instance after two misses.
 BALANCER_REMOVAL_S = 2.6
 
 
 class DirectEntryService(aiomisc.Service):
-    """One entry.
+    """An entry that sends requests directly to targets.
 
     Parameters
     ----------
     settings : DirectSettings
-        Checked settings.
+        Validated settings.
     client : TargetClient
-        Sends to targets.
+        Sends requests to targets.
     new_ingress : callable
-        Makes the listener for callers from what serves them.
+        Creates the listener for callers from a request handler and the maximum body
+        size.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
             "log_lines_lost", "Log lines dropped since the start."
         )
         self.quarantined = self.metrics.gauge(
-            "requests_quarantined", "Requests that are sent to no target any more."
+            "requests_quarantined", "Requests that are not sent to targets any more."
         )
         self.dispatcher = Dispatcher(
             settings,
@@ -85,18 +86,18 @@
         self.sweep_task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Follow control instances, and listen."""
+        """Follow control instances and listen for callers."""
         self.follower.start()
         await self.http.start(self.settings.http_listen)
         await self.ingress.start(self.settings.listen)
         self.sweep_task = asyncio.get_running_loop().create_task(self.sweep())
 
     def meet_hosts(self, hosts: Iterable[str]) -> None:
-        """Follow control instances that new settings name."""
+        """Follow the control instances in changed settings."""
         self.follower.add_instances(hosts)
 
     def is_ready(self) -> bool:
-        """Ready with a routing table that a quorum confirmed once."""
+        """Return whether a quorum confirmed the routing table and no drain started."""
         return (
             self.follower.fresh
             and self.follower.table.version > 0
@@ -104,7 +105,7 @@
         )
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Let callers go elsewhere, finish what is in progress, and close."""
+        """Leave the load balancer, drain requests in progress, and close."""
         self.leaving = True
         log.info("stopping", extra=fields(in_progress=len(self.ingress.active)))
         await self.ingress.drain(BALANCER_REMOVAL_S, self.settings.drain_ms / 1000)
@@ -115,28 +116,28 @@
         await self.follower.stop()
 
     def table_changed(self, table: RoutingTable) -> None:
-        """Use a newer routing table."""
+        """Apply a newer routing table."""
         self.dispatcher.set_table(table)
         self.ingress.most_body_bytes = table.limits.body_bytes
         self.keep_links()
 
     def targets_changed(self, states: Iterable[messages.TargetState]) -> None:
-        """Take news of targets in."""
+        """Apply updates of target states."""
         self.registry.update(states, asyncio.get_running_loop().time())
         self.keep_links()
 
     def record_heartbeats(self, heartbeats: Iterable[messages.TargetBeat]) -> list[str]:
-        """Take in that targets were heard again; return those not known so."""
+        """Record heartbeats of targets; return ids of targets with stale state here."""
         return self.registry.record_heartbeats(
             heartbeats, asyncio.get_running_loop().time()
         )
 
     def keep_links(self) -> None:
-        """Keep links to sidecars of all model services."""
+        """Maintain links to the sidecars of all model services."""
         self.allocator.sidecars.keep_links(self.follower.table.engines())
 
     async def sweep(self) -> None:
-        """Forget targets that ended."""
+        """Update gauges and remove expired state, periodically."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
--- a/src/wisteriapulley/direct/settings.py
+++ b/src/wisteriapulley/direct/settings.py
@@ -1,29 +1,29 @@
-"""Settings of entries and sidecars whose targets speak HTTP themselves."""
+"""Settings of entries and sidecars whose targets serve HTTP themselves."""
 
 from wisteriapulley.settings import Address, NodeSettings
 
 
 class DirectSettings(NodeSettings, frozen=True, kw_only=True):
-    """Settings of an entry that sends to targets itself.
+    """Settings of an entry that sends requests directly to targets.
 
     Attributes
     ----------
     listen : Address
-        Callers.
+        Listener for callers.
     ready_listen : Address
-        The balancer's question whether the entry takes new connections.
+        Listener for readiness checks of load balancers.
     control : tuple of Address
-        Wire addresses of control instances to begin with.
+        Wire addresses of the initial control instances.
     sidecar_port : int
-        Wire port of the sidecars, on their targets' hosts.
+        Wire port of the sidecars, on the hosts of their targets.
     failure_domain_regions : dict
         Region of each failure domain.
     old_version_ms : int
-        How long a replaced version of weights may serve after the newer one was
+        How long a superseded version of weights may serve after the newer one was
         accepted, in milliseconds.
     retry_ratio, retry_slack, retry_window_s : float
-        Second sends that all entries together may make to a service: a share of
-        the requests for it, and so many more, in any window of so many seconds.
+        Retry budget that all entries share for a service: in any window of
+        `retry_window_s` seconds, `retry_ratio` of its requests plus `retry_slack`.
     """
 
     listen: Address
@@ -38,24 +38,24 @@
 
 
 class RolloutSettings(NodeSettings, frozen=True, kw_only=True):
-    """Settings of a sidecar whose target takes requests from entries itself.
+    """Settings of a sidecar whose target receives requests directly from entries.
 
     Attributes
     ----------
     wire_listen : Address
-        Entries that ask for places.
+        Listener for entries that request slots.
     control : tuple of Address
-        Wire addresses of control instances to begin with.
+        Wire addresses of the initial control instances.
     target : Address
-        The engine beside this sidecar.
+        The engine of this sidecar.
     service : str
-        What it serves.
+        Service that the engine serves.
     link_mbps : float
-        Rate of this instance's link, in megabits a second.
+        Bandwidth of this instance's link, in megabits per second.
     failure_domain_regions : dict
         Region of each failure domain.
     old_version_ms : int
-        How long a replaced version of weights may serve after the newer one was
+        How long a superseded version of weights may serve after the newer one was
         accepted, in milliseconds.
     """
 
--- a/src/wisteriapulley/direct/sidecars.py
+++ b/src/wisteriapulley/direct/sidecars.py
@@ -1,4 +1,4 @@
-"""One entry's links to the sidecars of engines, and its questions to them."""
+"""Links of an entry to the sidecars of engines, and slot requests over them."""
 
 import asyncio
 import functools
@@ -23,38 +23,51 @@
 
 log = logging.getLogger(__name__)
 
-# Beyond the wait that was asked for, until a verdict counts as lost.
+# Time beyond the requested wait after which a queued decision counts as lost.
 DECISION_MARGIN_S = 0.25
-# Sidecars that one entry asks, of each service. A request is offered to six at most,
-# so that this leaves a choice among several times as many; those of the own region
-# come first, since bytes between regions are dear and their links narrow.
+# Sidecars that an entry links to per service. A request is offered to at most six, so
+# this leaves a choice among several times as many. Sidecars in the entry's own region
+# come first, since traffic between regions is expensive and its links are slow.
 LINK_LIMITS = SubsetLimits(total=28, same_region=22)
-# What a sidecar says in its heartbeats: it grants nothing now, or nothing yet.
+# States in heartbeats of sidecars: no grants now, or no grants yet.
 CLOSED_STATE = "closed"
 OPENING_STATE = "opening"
-# It grants, but its engine holds requests back now: it states a rate, or turned some
-# away.
+# The sidecar grants slots, but its engine is throttled: it advertises a rate or has
+# rejected requests.
 LIMITED_STATE = "limited"
-# An engine that still loads its weights, or is at its limit, is asked after those that
-# have room.
+# Load penalty, as a fraction of an engine's slots, of an engine that still loads its
+# weights or is throttled. It is asked after engines with free slots.
 LIMITED_LOAD = 1.0
-# Load, as a share of an engine's places, that a second until its sidecar's answer
-# counts for: a tenth of a second is a quarter of an objective, and as bad as an
-# engine without a place.
+# Load penalty, as a fraction of an engine's slots, per second of its sidecar's response
+# time. A tenth of a second is a quarter of a latency objective, and counts as much as
+# an engine without a free slot.
 DELAY_LOAD_PER_S = 10.0
 
 
 class Sidecars:
-    """Links to the sidecars of the engines that an entry asks for places.
+    """Links to the sidecars that an entry requests slots from.
 
     Parameters
     ----------
     settings : DirectSettings
-        The sidecars' port.
+        Settings of the entry, with the port of sidecars.
     identity : Identity
-        Who the entry is.
+        Identity of the entry.
     registry : TargetRegistry
-        The targets.
+        Known targets.
+
+    Attributes
+    ----------
+    keepers : dict of str to LinkKeeper
+        Links by host.
+    selected_hosts : set of str
+        Hosts of the sidecars to request slots from; see `policy.subset`.
+    pending : Counter of str
+        Slot requests without a decision yet, by host.
+    answer_times : AnswerTimes
+        Response times of sidecars.
+    stalled_since_s : dict of str to float
+        By host, when a slot request was sent after which nothing was received.
     """
 
     def __init__(
@@ -66,17 +79,15 @@
         self.own = Member(identity.node_id, settings.failure_domain)
         self.regions = Regions(settings.failure_domain_regions)
         self.keepers: dict[str, LinkKeeper] = {}
-        # Hosts of the sidecars that are asked for places; see `policy.subset`.
         self.selected_hosts: set[str] = set()
         self.pending: Counter[str] = Counter()
         self.answer_times = AnswerTimes()
-        # By host: when a question was sent that nothing at all followed.
         self.stalled_since_s: dict[str, float] = {}
 
     # -- links -----------------------------------------------------------
 
     def keep_links(self, services: Iterable[str]) -> None:
-        """Keep links to the sidecars of some targets of each model service."""
+        """Maintain links to the sidecars of some targets of each model service."""
         self.selected_hosts = {
             host for service in services for host in self.hosts_of(service)
         }
@@ -94,9 +105,10 @@
             keeper.start()
 
     async def link_opened(self, host: str, link: Link) -> None:
-        """Spare heartbeats where questions go anyway; tell rates before any question.
+        """Reduce heartbeats on a new link, and report rates before any slot request.
 
-        A sidecar that has started again knows of none.
+        Frames of slot requests stand in for heartbeats. A sidecar that has restarted
+        knows no advertised rates.
         """
         link.sparing = True
         now_s = asyncio.get_running_loop().time()
@@ -105,7 +117,7 @@
                 link.post(rate_update(target, now_s))
 
     def hosts_of(self, service: str) -> list[str]:
-        """Return the hosts of the targets to ask for places of a service."""
+        """Return the hosts of the sidecars to link to for a service."""
         members = {
             Member(target.host, target.failure_domain)
             for target in self.registry.of_service(service)
@@ -114,13 +126,13 @@
         return choose_subset(members, self.own, self.regions, LINK_LIMITS)
 
     def is_selected(self, target: Target) -> bool:
-        """Tell whether a target is asked for places by this entry."""
+        """Return whether this entry requests slots from the sidecar of a target."""
         return target.host in self.selected_hosts
 
     async def drop_links(self) -> None:
-        """Close links that are not wanted and over which nothing is held.
+        """Close links that are not needed and have no requests in flight.
 
-        A sidecar takes back what an entry holds when its link closes.
+        When a link closes, the sidecar releases all slots granted over it.
         """
         busy = {t.host for t in self.registry.targets.values() if t.outstanding}
         for host in set(self.keepers) - self.selected_hosts - busy:
@@ -134,22 +146,22 @@
             await keeper.stop()
 
     async def handle(self, link: Link, frame: Frame) -> None:
-        """Take a frame that answers nothing: sidecars send none."""
-        log.warning("unexpected %s", type(frame.message).__name__)
+        """Log an unsolicited frame; sidecars send none."""
+        log.warning("unexpected message %s", type(frame.message).__name__)
 
     def link_to(self, target: Target) -> Link | None:
         """Return the open link to a target's sidecar."""
         keeper = self.keepers.get(target.host)
         return keeper.open_link if keeper is not None else None
 
-    # -- what they said --------------------------------------------------
+    # -- reported state --------------------------------------------------
 
     def is_available(self, target: Target) -> bool:
-        """Tell whether a sidecar may grant a place, as far as it last said.
+        """Return whether a sidecar may grant a slot, by its last heartbeat.
 
-        Without this an engine that loads weights looks empty, is asked first and
-        takes the request's few tries: of the requests refused while newcomers
-        loaded, nine in ten had asked no other.
+        Without this check, an engine that loads weights looks empty, is asked first and
+        uses up the few attempts of a request: of the requests refused while new engines
+        loaded weights, nine in ten had asked no other engine.
         """
         link = self.link_to(target)
         if link is None:
@@ -159,46 +171,46 @@
         )
 
     def is_stalled(self, host: str, link: Link) -> bool:
-        """Tell whether nothing came since a question that was not answered.
+        """Return whether nothing was received since an unanswered slot request.
 
-        Load: an instance that is frozen or overloaded, while its link still counts
-        as open for a second or more. Harm prevented: each request in that time
-        would spend what it has left of its objective on waiting there.
+        The link of a frozen or overloaded instance counts as open for a second or more.
+        Without this check, each request in that time would spend the rest of its
+        latency objective on waiting for it.
         """
         return link.last_received <= self.stalled_since_s.get(host, float("-inf"))
 
     def load_of(self, target: Target, now_s: float) -> Load:
-        """Return an engine's load, as its sidecar last said it."""
+        """Return an engine's load, by the last heartbeat of its sidecar."""
         link = self.link_to(target)
         if link is None:
             return Load(target.slots, target.slots)
         heartbeat = link.peer_heartbeat
-        taken = heartbeat.running + heartbeat.waiting + self.pending[target.host]
+        used = heartbeat.running + heartbeat.waiting + self.pending[target.host]
         if heartbeat.state in (OPENING_STATE, LIMITED_STATE):
-            taken += LIMITED_LOAD * target.slots
-        slow_s = self.answer_times.expected_s(target.host, now_s)
-        taken += DELAY_LOAD_PER_S * slow_s * target.slots
-        return Load(taken, target.slots)
+            used += LIMITED_LOAD * target.slots
+        delay_s = self.answer_times.expected_s(target.host, now_s)
+        used += DELAY_LOAD_PER_S * delay_s * target.slots
+        return Load(used, target.slots)
 
-    # -- questions -------------------------------------------------------
+    # -- slot requests ---------------------------------------------------
 
     async def reserve(
         self, link: Link, target: Target, reservation: messages.Reserve
     ) -> messages.Reserved | None:
-        """Ask one sidecar for a place; None when it does not answer."""
+        """Request a slot from one sidecar; None if it does not respond."""
         host = target.host
-        asked_s = asyncio.get_running_loop().time()
+        sent_s = asyncio.get_running_loop().time()
         self.pending[host] += 1
         try:
             return await self.wait_for_decision(link, host, reservation)
         except WisteriapulleyError as error:
-            log.info("sidecar of %s did not answer: %s", target.target_id, error)
-            if link.last_received <= asked_s:
-                self.stalled_since_s[host] = asked_s
+            log.info("sidecar of %s did not respond: %s", target.target_id, error)
+            if link.last_received <= sent_s:
+                self.stalled_since_s[host] = sent_s
             self.release(link, reservation.request_id)
             return None
         except BaseException:
-            # The caller has left: the place must not stay taken.
+            # The caller has left, and must not keep the slot.
             self.release(link, reservation.request_id)
             raise
         finally:
@@ -207,12 +219,12 @@
     async def wait_for_decision(
         self, link: Link, host: str, reservation: messages.Reserve
     ) -> messages.Reserved:
-        """Send a question, and wait for the verdict.
+        """Send a slot request and wait for the decision.
 
         Raises
         ------
         WisteriapulleyError
-            No word came soon, or no verdict in time.
+            The first reply or the decision did not arrive in time.
         """
         call = link.call(reservation)
         try:
@@ -226,16 +238,16 @@
         return frame.message
 
     async def first_reply(self, call: Call, host: str) -> Frame:
-        """Wait for the first answer of a sidecar, and note how long it took."""
+        """Wait for the first reply of a sidecar and record how long it took."""
         loop = asyncio.get_running_loop()
-        asked_s = loop.time()
+        sent_s = loop.time()
         try:
             frame = await call.reply(self.answer_times.max_wait_s())
         except WisteriapulleyError as error:
             if error.code is ResultCode.LINK_TIMEOUT:
                 self.answer_times.record_timeout(host, loop.time())
             raise
-        self.answer_times.record_answer(host, loop.time() - asked_s, loop.time())
+        self.answer_times.record_answer(host, loop.time() - sent_s, loop.time())
         return frame
 
     def release(
@@ -245,11 +257,11 @@
         outcome: SendOutcome = SendOutcome.UNKNOWN,
         cooling_down: bool = False,
     ) -> None:
-        """Tell a sidecar that a place is not needed any more, and what its engine did.
+        """Release a slot, and report what the engine did with the request.
 
-        Only entries see whether the engine took what its sidecar granted.
+        Only entries see whether the engine accepted what its sidecar granted.
         """
         if not link.closed.is_set():
-            taken = outcome is SendOutcome.ACCEPTED
-            turned_away = outcome is SendOutcome.REJECTED
-            link.post(messages.Release(request_id, taken, turned_away, cooling_down))
+            accepted = outcome is SendOutcome.ACCEPTED
+            rejected = outcome is SendOutcome.REJECTED
+            link.post(messages.Release(request_id, accepted, rejected, cooling_down))
--- a/src/wisteriapulley/direct/signal_recorder.py
+++ b/src/wisteriapulley/direct/signal_recorder.py
@@ -1,4 +1,4 @@
-"""Takes in what targets say of themselves, whatever request they answer."""
+"""Records the signals about targets in their responses to any request."""
 
 import asyncio
 import logging
@@ -10,58 +10,59 @@
 
 log = logging.getLogger(__name__)
 
-# Characters of a target's text that a log line shows.
+# Characters of a header value that a log line shows at most.
 MAX_LOGGED_CHARS = 40
 
 
 class SignalRecorder:
-    """Statements of all targets that an entry sends to.
+    """Records the signals in the responses of all targets of an entry.
 
     Parameters
     ----------
-    heard_rate : callable
-        Called with a target and the time, when it states a rate or none any more.
+    report_rate : callable
+        Called with a target and the time when the target advertises or withdraws a
+        rate.
     """
 
     def __init__(self, report_rate: Callable[[Target, float], None]):
         self.report_rate = report_rate
 
     def record(self, target: Target, signals: ResponseSignals, sent_s: float) -> None:
-        """Take in what an answer of a target says of it; log what changes."""
+        """Record the signals in a response of a target, and log what changed."""
         now_s = asyncio.get_running_loop().time()
-        known_per_s = target.rate.per_s
-        heard = target.record_signals(signals, sent_s, now_s)
-        if heard.rate:
+        previous_per_s = target.rate.per_s
+        changes = target.record_signals(signals, sent_s, now_s)
+        if changes.rate:
             self.report_rate(target, now_s)
-        if target.rate.per_s != known_per_s:
+        if target.rate.per_s != previous_per_s:
             log.info(
                 "target states a rate",
                 extra=fields(target=target.target_id, per_s=target.rate.per_s),
             )
-        if heard.cooldown:
+        if changes.cooldown:
             log.info(
                 "target asks for rest",
                 extra=fields(target=target.target_id, rest_s=signals.cooldown.seconds),
             )
-        if heard.leaving:
+        if changes.leaving:
             log.info("target says it leaves", extra=fields(target=target.target_id))
         self.log_unreadable(target, signals)
 
     def log_unreadable(self, target: Target, signals: ResponseSignals) -> None:
-        """Log what can't be read, once for each target."""
+        """Log signals that can't be parsed, once per target."""
         if target.rate.is_first_invalid(signals.rate):
             log.warning(
-                "rate can't be read",
+                "cannot parse advertised rate",
                 extra=fields(
                     target=target.target_id,
-                    expected="a decimal number of requests a second",
+                    expected="a decimal number of requests per second",
                     got=signals.rate.invalid_text[:MAX_LOGGED_CHARS],
                     kept_per_s=target.rate.per_s,
                 ),
             )
         if target.cooldown.is_first_invalid(signals.cooldown):
             log.warning(
-                "rest can't be read",
+                "cannot parse requested cool-down",
                 extra=fields(
                     target=target.target_id,
                     expected="a decimal number of seconds, or a date",
--- a/src/wisteriapulley/direct/slot_allocation.py
+++ b/src/wisteriapulley/direct/slot_allocation.py
@@ -295,7 +295,7 @@
         denials = Denials()
         for target in self.eligible_engines(targets, now_s):
             wait_s = max(
-                self.rate_permits.full_s(target, now_s),
+                self.rate_permits.at_limit_s(target, now_s),
                 target.wait_s(self.now_s(), is_last),
             )
             if wait_s:
--- a/src/wisteriapulley/idle_connections.py
+++ b/src/wisteriapulley/idle_connections.py
@@ -1,4 +1,4 @@
-"""Closes a server's connections that wait for a request."""
+"""Closes idle connections of an aiohttp server."""
 
 from collections.abc import Container
 
@@ -6,17 +6,17 @@
 
 
 def close_idle(server: web.Server, active: Container[web.RequestHandler]) -> None:
-    """Close connections without a request; others close after their answer.
+    """Close idle connections now and the others after their response.
 
-    The library only ends the task of an idle connection and leaves it open:
-    what a caller still sends on it would be read by nobody.
+    aiohttp only ends the task of an idle connection and leaves the connection open, so
+    that nothing would read a request that a caller still sends on it.
 
     Parameters
     ----------
     server : aiohttp.web.Server
-        Whose connections they are.
+        Server whose connections to close.
     active : container of aiohttp.web.RequestHandler
-        Those with a request in progress.
+        Connections with a request in progress.
     """
     for connection in server.connections:
         idle = is_idle(connection, active)
@@ -28,10 +28,10 @@
 def is_idle(
     connection: web.RequestHandler, active: Container[web.RequestHandler]
 ) -> bool:
-    """Tell whether a connection waits for a request.
+    """Return whether a connection waits for a request.
 
-    One whose request is parsed, but not yet handled, waits no more.
+    A connection whose request was parsed, but is not yet handled, is not idle.
     """
     waiter = connection._waiter
-    waits = waiter is not None and not waiter.done()
-    return waits and connection not in active
+    waiting = waiter is not None and not waiter.done()
+    return waiting and connection not in active
--- a/src/wisteriapulley/regions.py
+++ b/src/wisteriapulley/regions.py
@@ -1,10 +1,10 @@
-"""Which region each failure domain belongs to."""
+"""Maps failure domains to regions."""
 
 from typing import NamedTuple
 
 
 class Regions(NamedTuple):
-    """Regions of failure domains; a domain without one is a region of its own.
+    """Regions of failure domains; an unmapped domain forms a region of its own.
 
     Attributes
     ----------
@@ -19,5 +19,5 @@
         return self.of_domain.get(failure_domain, failure_domain)
 
     def same(self, one: str, other: str) -> bool:
-        """Tell whether two failure domains are in one region."""
+        """Return whether two failure domains are in the same region."""
         return self.of(one) == self.of(other)
--- a/tests/test_advertised_rate.py
+++ b/tests/test_advertised_rate.py
@@ -97,7 +97,7 @@
                 says=ResponseSignals(rate=AdvertisedRate(None, "x" * 500)),
             )
         )
-        (line,) = self.lines(caplog, "rate can't be read")
+        (line,) = self.lines(caplog, "cannot parse advertised rate")
         assert len(line.got) < 100
 
     def test_response_of_another_instance_is_ignored(self, caplog):
