--- a/tests/test_advertised_rate.py
+++ b/tests/test_advertised_rate.py
@@ -85,7 +85,9 @@
     def test_rate_is_logged_with_its_target(self, caplog):
         caplog.set_level("INFO")
         serve(
-            FakeAnswer([events(1, 2)], says=ResponseSignals(rate=AdvertisedRate(1.5)))
+            FakeAnswer(
+                [events(1, 2)], signals=ResponseSignals(rate=AdvertisedRate(1.5))
+            )
         )
         (line,) = self.lines(caplog, "target states a rate")
         assert (line.target, line.per_s) == ("i-0", 1.5)
@@ -94,7 +96,7 @@
         serve(
             FakeAnswer(
                 [events(1, 2)],
-                says=ResponseSignals(rate=AdvertisedRate(None, "x" * 500)),
+                signals=ResponseSignals(rate=AdvertisedRate(None, "x" * 500)),
             )
         )
         (line,) = self.lines(caplog, "cannot parse advertised rate")
@@ -106,7 +108,7 @@
             status=421,
             other_instance=True,
             not_run=True,
-            says=ResponseSignals(rate=AdvertisedRate(1.0)),
+            signals=ResponseSignals(rate=AdvertisedRate(1.0)),
         )
         serve(other, FakeAnswer([events(1, 2)]))
         assert not self.lines(caplog, "target states a rate")
