--- a/tests/plain_fleet.py
+++ b/tests/plain_fleet.py
@@ -1,4 +1,4 @@
-"""One control instance and three entries on loopback, with plain targets."""
+"""Fixture: a control instance and three entries on loopback, with plain targets."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class Fleet:
-    """A control instance, entries on hosts of their own, and targets."""
+    """A control instance and entries, each on a host of its own, and targets."""
 
     def __init__(self, folder, targets):
         self.folder = folder
@@ -48,7 +48,7 @@
         await self.start_control()
         for number in range(ENTRIES):
             await self.start_entry(number)
-        self.beating = asyncio.create_task(self.beat_loop())
+        self.heartbeat_task = asyncio.create_task(self.heartbeat_loop())
         table = configuration(1, Origin(), routes=[ROUTE], services=[SERVICE])
         await self.until(lambda: self.post(names.REPLACE_CALL, table))
         for number in range(ENTRIES):
@@ -76,20 +76,20 @@
         await service.stop()
 
     async def stop_services(self):
-        """Stop the entries together, since each waits for its callers, then control."""
+        """Stop all entries at once, since each drains, then the control instance."""
         entries = [service for service in self.services if service != self.control]
         await asyncio.gather(*(self.stop_service(entry) for entry in entries))
         await self.stop_service(self.control)
 
     async def stop(self):
-        self.beating.cancel()
+        self.heartbeat_task.cancel()
         await self.session.close()
         await self.stop_services()
         for target in self.targets:
             await target.stop()
 
     async def until(self, check):
-        """Wait for a condition, however long a busy machine takes."""
+        """Wait for a condition, with a timeout for a busy machine."""
         async with asyncio.timeout(PATIENCE_S):
             while not await check():
                 await asyncio.sleep(0.02)
@@ -99,18 +99,18 @@
         async with self.session.post(url, data=body) as answer:
             return answer.status == 200
 
-    async def beat_loop(self):
+    async def heartbeat_loop(self):
         while True:
             self.sequence += 1
             with contextlib.suppress(aiohttp.ClientError):
                 for target in self.targets:
-                    await self.beat(target)
+                    await self.send_heartbeat(target)
             await asyncio.sleep(0.2)
 
-    async def beat(self, target):
+    async def send_heartbeat(self, target):
         if not target.is_up:
             return
-        beat = {
+        heartbeat = {
             "service": "plain",
             "address": target.address,
             "zone": "palermo",
@@ -121,10 +121,10 @@
             "sequence": self.sequence,
         }
         path = names.HEARTBEAT_CALL.format(target_id=target.target_id)
-        await self.post(path, json.dumps(beat).encode())
+        await self.post(path, json.dumps(heartbeat).encode())
 
     async def ask(self, number, body, path="/p/x", key="key-1"):
-        """Send a request to an entry; return the status and when to come back."""
+        """Send a request to an entry; return the status and the Retry-After header."""
         url = f"http://{self.entry_hosts[number]}:{self.base + 8}{path}"
         headers = {
             "Host": "plain.example",
--- a/tests/test_advertised_limit.py
+++ b/tests/test_advertised_limit.py
@@ -1,4 +1,4 @@
-"""A target states how many requests a second it takes from all entries together."""
+"""A target advertises how many requests per second it takes from all entries."""
 
 import asyncio
 
@@ -7,18 +7,18 @@
 from tests.plain_fleet import ENTRIES, Fleet
 
 PER_S = 2.0
-# What the users allow: in any window one and a half times the rate, and five more,
-# once the senders were told half a second ago.
+# Permitted requests in any window: one and a half times the rate plus five, from half a
+# second after the senders received the rate.
 WINDOW_S = 4.0
-SHARE = 1.5
+RATE_FACTOR = 1.5
 SLACK = 5
-TOLD_S = 0.5
+REACTION_S = 0.5
 FLOOD_S = 7.0
 PAUSE_S = 0.05
 
 
-def most_in_window(arrivals, since_s):
-    """Count the most requests that came in any window from a time on."""
+def max_in_window(arrivals, since_s):
+    """Return the largest number of arrivals in any window since a time."""
     times = sorted(at_s for at_s in arrivals if at_s >= since_s)
     return max(
         (sum(at_s <= t < at_s + WINDOW_S for t in times) for at_s in times), default=0
@@ -26,38 +26,38 @@
 
 
 def allowed(per_s):
-    return SHARE * per_s * WINDOW_S + SLACK
+    return RATE_FACTOR * per_s * WINDOW_S + SLACK
 
 
 async def flood(ask, senders):
-    """Send from several callers without a pause, for a time; return the statuses."""
+    """Send from several callers in a loop for some time; return the responses."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + FLOOD_S
     answers = []
 
-    async def insist(number):
+    async def send_repeatedly(number):
         while loop.time() < until_s:
             answers.append(await ask(number))
             await asyncio.sleep(PAUSE_S)
 
-    await asyncio.gather(*(insist(number) for number in range(senders)))
+    await asyncio.gather(*(send_repeatedly(number) for number in range(senders)))
     return answers
 
 
 class TestPlainTarget:
-    def test_gets_no_more_than_it_states_from_all_entries_together(self, tmp_path):
+    def test_rate_is_kept_over_all_entries(self, tmp_path):
         target = PlainTarget(0)
         fleet = Fleet(tmp_path, [target])
 
         async def scenario(fleet):
             target.rate = str(PER_S)
             for number in range(ENTRIES):
-                assert (await fleet.ask(number, b"told"))[0] == 200
-            told_s = asyncio.get_running_loop().time() + TOLD_S
+                assert (await fleet.ask(number, b"initial"))[0] == 200
+            limited_from_s = asyncio.get_running_loop().time() + REACTION_S
             answers = await flood(
                 lambda number: fleet.ask(number % ENTRIES, b"more"), 2 * ENTRIES
             )
-            assert most_in_window(target.arrivals, told_s) <= allowed(PER_S)
+            assert max_in_window(target.arrivals, limited_from_s) <= allowed(PER_S)
             refused = [wait for status, wait in answers if status == 503]
             assert refused and all(float(wait) > 0 for wait in refused)
             assert any(status == 200 for status, _ in answers)
@@ -66,18 +66,18 @@
 
 
 class TestEngine:
-    def test_gets_no_more_than_it_states(self, tmp_path):
+    def test_rate_is_kept(self, tmp_path):
         async def scenario(path):
             path.engine.rate = str(PER_S)
             assert (await path.ask())[0] == 200
-            told_s = asyncio.get_running_loop().time() + TOLD_S
+            limited_from_s = asyncio.get_running_loop().time() + REACTION_S
 
             async def ask(number):
                 status, _, headers = await path.ask(id=f"request-{number}")
                 return status, headers.get("Retry-After")
 
             answers = await flood(ask, 6)
-            assert most_in_window(path.engine.arrivals, told_s) <= allowed(PER_S)
+            assert max_in_window(path.engine.arrivals, limited_from_s) <= allowed(PER_S)
             refused = [wait for status, wait in answers if status == 503]
             assert refused and all(float(wait) > 0 for wait in refused)
             assert any(status == 200 for status, _ in answers)
--- a/tests/test_cooldown.py
+++ b/tests/test_cooldown.py
@@ -1,4 +1,4 @@
-"""A target that turns a request away may ask for rest."""
+"""A target that rejects a request may request a cool-down."""
 
 import asyncio
 
@@ -7,23 +7,25 @@
 from tests.plain_fleet import Fleet
 from wisteriapulley.policy.circuit_breaker import MAX_OPEN_S
 
-# What the users allow: so many requests from one instance between half a second
-# after the answer and the end of the rest.
-MOST_IN_REST = 2
-TOLD_S = 0.5
-REST_S = 2.0
+# Permitted requests from one instance to a target between half a second after its
+# first rejection and the end of its cool-down.
+MAX_IN_COOLDOWN = 2
+REACTION_S = 0.5
+COOLDOWN_S = 2.0
 CALLERS = 6
 PAUSE_S = 0.05
 
 
-def in_rest(arrivals):
-    """Count the requests in the rest that the first of them was told."""
-    told_s = arrivals[0]
-    return sum(told_s + TOLD_S < at_s < told_s + REST_S for at_s in arrivals)
+def in_cooldown(arrivals):
+    """Count the arrivals in the cool-down that starts with the first of them."""
+    requested_s = arrivals[0]
+    return sum(
+        requested_s + REACTION_S < at_s < requested_s + COOLDOWN_S for at_s in arrivals
+    )
 
 
-async def insist(ask, seconds):
-    """Let several callers ask without a pause for a time; return the answers."""
+async def send_repeatedly(ask, seconds):
+    """Let several callers send in a loop for some time; return the responses."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + seconds
     answers = []
@@ -40,36 +42,40 @@
 
 
 class TestPlainTargets:
-    def test_one_that_rests_gets_no_more_and_costs_no_caller(self, tmp_path):
-        resting, other = PlainTarget(0), PlainTarget(1)
+    def test_target_in_cooldown_gets_no_requests_and_none_fail(self, tmp_path):
+        cooling, other = PlainTarget(0), PlainTarget(1)
 
         async def scenario(fleet):
-            resting.arrivals.clear()
-            resting.rest = str(REST_S)
+            cooling.arrivals.clear()
+            cooling.rest = str(COOLDOWN_S)
 
-            async def told():
-                await fleet.ask(0, b"told")
-                return resting.turned_away
+            async def requested():
+                await fleet.ask(0, b"initial")
+                return cooling.turned_away
 
-            await fleet.until(told)
-            answers = await insist(
-                lambda name: fleet.ask(0, name.encode()), REST_S - TOLD_S
+            await fleet.until(requested)
+            answers = await send_repeatedly(
+                lambda name: fleet.ask(0, name.encode()), COOLDOWN_S - REACTION_S
             )
-            assert in_rest(resting.arrivals) <= MOST_IN_REST
+            assert in_cooldown(cooling.arrivals) <= MAX_IN_COOLDOWN
             assert {status for status, _ in answers} == {200}
 
-        plain_fleet.play(Fleet(tmp_path, [resting, other]), scenario)
+        plain_fleet.play(Fleet(tmp_path, [cooling, other]), scenario)
 
-    def test_all_at_rest_refuse_at_once(self, tmp_path):
+    def test_all_targets_in_cooldown_refuse_at_once(self, tmp_path):
         targets = [PlainTarget(0), PlainTarget(1)]
 
         async def scenario(fleet):
             for target in targets:
                 target.arrivals.clear()
-                target.rest = str(REST_S)
-            answers = await insist(lambda name: fleet.ask(0, name.encode()), REST_S / 2)
-            assert all(in_rest(target.arrivals) <= MOST_IN_REST for target in targets)
-            # Each target is told once; what was on its way then comes on top.
+                target.rest = str(COOLDOWN_S)
+            answers = await send_repeatedly(
+                lambda name: fleet.ask(0, name.encode()), COOLDOWN_S / 2
+            )
+            assert all(
+                in_cooldown(target.arrivals) <= MAX_IN_COOLDOWN for target in targets
+            )
+            # Each target rejects one request, and those already in flight then.
             sends = sum(target.turned_away for target in targets)
             assert sends <= len(targets) * CALLERS < len(answers)
             assert {status for status, _ in answers} == {503}
@@ -77,57 +83,59 @@
 
         plain_fleet.play(Fleet(tmp_path, targets), scenario)
 
-    def test_one_that_turns_all_away_without_a_word_costs_no_caller(self, tmp_path):
-        """It looks empty, and would be asked first each time."""
-        away, other = PlainTarget(0), PlainTarget(1)
+    def test_target_that_rejects_without_cooldown_fails_no_request(self, tmp_path):
+        """It looks empty, and would be tried first each time."""
+        rejecting, other = PlainTarget(0), PlainTarget(1)
 
         async def scenario(fleet):
-            away.rest = ""
+            rejecting.rest = ""
 
-            async def told():
-                await fleet.ask(0, b"told")
-                return away.turned_away >= 2
+            async def rejected():
+                await fleet.ask(0, b"initial")
+                return rejecting.turned_away >= 2
 
-            await fleet.until(told)
-            before = away.turned_away
-            answers = await insist(lambda name: fleet.ask(0, name.encode()), REST_S)
-            most = REST_S / MAX_OPEN_S + CALLERS
-            assert away.turned_away - before <= most < len(answers)
+            await fleet.until(rejected)
+            before = rejecting.turned_away
+            answers = await send_repeatedly(
+                lambda name: fleet.ask(0, name.encode()), COOLDOWN_S
+            )
+            limit = COOLDOWN_S / MAX_OPEN_S + CALLERS
+            assert rejecting.turned_away - before <= limit < len(answers)
             assert {status for status, _ in answers} == {200}
 
-        plain_fleet.play(Fleet(tmp_path, [away, other]), scenario)
+        plain_fleet.play(Fleet(tmp_path, [rejecting, other]), scenario)
 
 
 class TestEngine:
-    def test_gets_no_more_while_it_rests(self, tmp_path):
-        async def scenario(whole):
-            whole.engine.arrivals.clear()
-            whole.engine.rest = str(REST_S)
+    def test_gets_no_requests_in_its_cooldown(self, tmp_path):
+        async def scenario(path):
+            path.engine.arrivals.clear()
+            path.engine.rest = str(COOLDOWN_S)
 
             async def ask(name):
-                status, _, _ = await whole.ask(id=f"request-{name}")
+                status, _, _ = await path.ask(id=f"request-{name}")
                 return status
 
-            answers = await insist(ask, REST_S)
-            assert in_rest(whole.engine.arrivals) <= MOST_IN_REST
+            answers = await send_repeatedly(ask, COOLDOWN_S)
+            assert in_cooldown(path.engine.arrivals) <= MAX_IN_COOLDOWN
             assert set(answers) == {503}
 
         test_platform_path.play(tmp_path, scenario)
 
-    def test_sidecar_that_is_turned_away_itself_calls_no_more(self, tmp_path):
-        async def scenario(whole):
-            engine = whole.engine
-            engine.report_rest = str(REST_S)
+    def test_sidecar_rejected_by_its_engine_stops_polling(self, tmp_path):
+        async def scenario(path):
+            engine = path.engine
+            engine.report_rest = str(COOLDOWN_S)
             engine.report_times.clear()
 
-            async def told():
+            async def reported():
                 return engine.report_times
 
-            await whole.until(told)
-            await asyncio.sleep(REST_S)
-            assert in_rest(engine.report_times) <= MOST_IN_REST
-            # What it knew of the engine still holds.
+            await path.until(reported)
+            await asyncio.sleep(COOLDOWN_S)
+            assert in_cooldown(engine.report_times) <= MAX_IN_COOLDOWN
+            # The last known state of the engine still applies.
             engine.report_rest = ""
-            assert (await whole.ask())[0] == 200
+            assert (await path.ask())[0] == 200
 
         test_platform_path.play(tmp_path, scenario)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,11 +1,11 @@
-"""Requests under which targets end, as one entry finds them out."""
+"""Detection of requests that crash targets, at one entry."""
 
 import asyncio
 import logging
 
 import pytest
 
-from tests.test_direct_dispatch import FakeAnswer, events, serve, watch
+from tests.test_direct_dispatch import FakeAnswer, crash_tracker, events, serve
 from wisteriapulley.direct.crashes import UPDATE_BATCH_S, CrashTracker
 from wisteriapulley.direct.liveness import Liveness
 from wisteriapulley.direct.progress import Admitted, Progress
@@ -40,9 +40,9 @@
 
 
 class TestCrashTracker:
-    def test_names_the_same_request_of_two_attempts(self, caplog):
+    def test_attempts_of_one_request_have_one_fingerprint(self, caplog):
         async def run():
-            crashes = watch(ended=True)
+            crashes = crash_tracker(crashed=True)
             await broke_off(crashes, admitted(number=1), target(1))
             await broke_off(crashes, admitted(number=2), target(2))
 
@@ -52,28 +52,30 @@
         assert (first.target, second.target) == ("i-1", "i-2")
         assert first.fingerprint == second.fingerprint
 
-    def test_shows_neither_key_nor_body(self, caplog):
+    def test_logs_neither_key_nor_body(self, caplog):
         caplog.set_level(logging.DEBUG)
-        asyncio.run(broke_off(watch(ended=True), admitted(), target()))
+        asyncio.run(broke_off(crash_tracker(crashed=True), admitted(), target()))
         text = str([record.__dict__ for record in caplog.records])
         assert "key-1" not in text and BODY.decode() not in text
         assert BODY.hex() not in text
 
-    def test_connection_that_ends_alone_is_no_crash(self, caplog):
-        asyncio.run(broke_off(watch(ended=False), admitted(), target()))
+    def test_lost_connection_is_no_crash(self, caplog):
+        asyncio.run(broke_off(crash_tracker(crashed=False), admitted(), target()))
         assert not lines(caplog)
 
     @pytest.mark.parametrize("planned", [{"leaving": True}, {"gone": True}])
-    def test_planned_end_is_no_crash(self, caplog, planned):
-        asyncio.run(broke_off(watch(ended=True), admitted(), target(**planned)))
+    def test_planned_exit_is_no_crash(self, caplog, planned):
+        asyncio.run(
+            broke_off(crash_tracker(crashed=True), admitted(), target(**planned))
+        )
         assert not lines(caplog)
 
-    def test_what_ends_together_is_told_in_one_frame(self):
-        told = []
+    def test_simultaneous_crashes_are_published_in_one_frame(self):
+        published = []
 
         async def run():
-            crashes = watch(ended=True)
-            crashes.publish = told.append
+            crashes = crash_tracker(crashed=True)
+            crashes.publish = published.append
             ended = target()
             await asyncio.gather(
                 *(
@@ -84,15 +86,15 @@
             await asyncio.sleep(3 * UPDATE_BATCH_S)
 
         asyncio.run(run())
-        (news,) = told
-        assert len(news.suspects) == 16
+        (update,) = published
+        assert len(update.suspects) == 16
 
-    def test_whole_answer_clears_and_is_told(self):
-        told = []
+    def test_complete_response_clears_and_is_published(self):
+        published = []
 
         async def run():
-            crashes = watch(ended=True)
-            crashes.publish = told.append
+            crashes = crash_tracker(crashed=True)
+            crashes.publish = published.append
             request = admitted()
             await broke_off(crashes, request, target())
             await asyncio.sleep(3 * UPDATE_BATCH_S)
@@ -100,21 +102,21 @@
             await asyncio.sleep(3 * UPDATE_BATCH_S)
 
         asyncio.run(run())
-        blamed, cleared = (news.suspects[0] for news in told)
-        assert blamed.ended and not cleared.ended
-        assert cleared.cleared == blamed.cleared + 1
+        suspected, cleared = (update.suspects[0] for update in published)
+        assert suspected.ended and not cleared.ended
+        assert cleared.cleared == suspected.cleared + 1
 
-    def test_failure_of_a_target_clears_nothing(self):
-        """It tells nothing of how the request goes on elsewhere."""
+    def test_error_response_clears_nothing(self):
+        """It does not show how the request behaves at other targets."""
         broken = FakeAnswer([b""], breaks=True)
         failure = FakeAnswer(status=500)
-        crashes = watch(ended=True)
+        crashes = crash_tracker(crashed=True)
         serve(broken, failure, kind=RouteKind.IDEMPOTENT, crashes=crashes)
         (record,) = crashes.suspects.records.values()
         assert record.ended
 
-    def test_word_that_is_late_is_taken_in(self):
-        """A host that answers slowly: the request goes on, and is judged later."""
+    def test_late_result_of_a_crash_check_is_recorded(self):
+        """If the host responds slowly, the request continues and is recorded later."""
 
         async def run():
             late = asyncio.Event()
@@ -123,7 +125,7 @@
                 await late.wait()
                 return True
 
-            crashes = CrashTracker(b"k" * 40, Liveness(refuses), lambda news: None)
+            crashes = CrashTracker(b"k" * 40, Liveness(refuses), lambda update: None)
             await broke_off(crashes, admitted(), target())
             assert not crashes.suspects.records
             late.set()
@@ -134,7 +136,7 @@
 
 
 class TestQuarantined:
-    """A stream that breaks off at one target after the other."""
+    """A stream that breaks off at one target after another."""
 
     @pytest.fixture(autouse=True)
     def ample_budget(self, monkeypatch):
@@ -142,12 +144,12 @@
 
     def test_is_not_sent_again_in_the_same_attempt(self):
         broken = [FakeAnswer([b""], breaks=True) for _ in range(5)]
-        refusal, _, client = serve(*broken, attempts=5, targets=5, ended=True)
+        refusal, _, client = serve(*broken, attempts=5, targets=5, crashed=True)
         assert len(client.plans) == 3
-        # It has run, so nothing may be promised.
+        # It has run, so the refusal must not guarantee otherwise.
         assert refusal.kind is RefusalKind.FAILED
 
-    def test_connections_that_break_alone_quarantine_nothing(self):
+    def test_lost_connections_quarantine_nothing(self):
         broken = [FakeAnswer([b""], breaks=True) for _ in range(4)]
         whole = FakeAnswer([events(1, 2)])
         refusal, caller, client = serve(*broken, whole, attempts=5, targets=5)
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -1,4 +1,4 @@
-"""One request crashes each target that begins to run it, and comes again and again."""
+"""One request crashes each target that starts to run it, and is sent repeatedly."""
 
 import asyncio
 
@@ -8,28 +8,28 @@
 
 CRASHING = b"crashing body"
 TARGETS = 12
-# What the users allow: a request may end three targets, and three of its later
-# sends may still reach one.
-ENDED_MOST = 3
-LATER_SENDS = 3
-# Between two attempts of a caller: news between entries take some milliseconds.
+# Permitted to a request: it may crash three targets, and at most three of its later
+# sends may still reach a target.
+MAX_CRASHED = 3
+MAX_LATER_SENDS = 3
+# Between two attempts of a caller: updates between entries take some milliseconds.
 PAUSE_S = 0.3
 
 
 class CrashingFleet(Fleet):
-    """A fleet whose targets one request crashes."""
+    """A fleet whose targets are crashed by one request."""
 
     def __init__(self, folder):
         super().__init__(folder, [PlainTarget(n, {CRASHING}) for n in range(TARGETS)])
 
-    def ended(self):
-        """Count the targets that the request has ended."""
+    def crashed(self):
+        """Count the targets that the request has crashed."""
         return sum(target.runs.count(CRASHING) for target in self.targets)
 
-    async def insist(self, times):
-        """Send the crashing request at one entry after the other.
+    async def send_repeatedly(self, times):
+        """Send the crashing request to one entry after the other.
 
-        Targets that ended are back before the next time, under other ids.
+        Crashed targets restart before the next send, under new ids.
         """
         statuses = []
         for number in range(times):
@@ -46,36 +46,36 @@
 
 
 class TestCrashingRequest:
-    def test_ends_no_target_after_another_at_every_entry(self, tmp_path):
+    def test_crashed_targets_are_limited_over_all_entries(self, tmp_path):
         async def scenario(fleet):
-            statuses = await fleet.insist(4 * ENTRIES)
-            assert fleet.ended() <= ENDED_MOST + LATER_SENDS
+            statuses = await fleet.send_repeatedly(4 * ENTRIES)
+            assert fleet.crashed() <= MAX_CRASHED + MAX_LATER_SENDS
             assert 200 not in statuses
 
         play(tmp_path, scenario)
 
-    def test_is_refused_at_once_as_not_run(self, tmp_path):
+    def test_is_refused_immediately_as_not_run(self, tmp_path):
         async def scenario(fleet):
-            await fleet.insist(2 * ENTRIES)
+            await fleet.send_repeatedly(2 * ENTRIES)
             runs = [len(target.runs) for target in fleet.targets]
             for number in range(ENTRIES):
-                # Coming back does not help, so no time to come back is named.
+                # A retry does not help, so the response has no Retry-After.
                 assert await fleet.ask(number, CRASHING) == (503, None)
             assert [len(target.runs) for target in fleet.targets] == runs
 
         play(tmp_path, scenario)
 
-    def test_leaves_all_other_requests_alone(self, tmp_path):
+    def test_other_requests_are_served(self, tmp_path):
         async def scenario(fleet):
-            await fleet.insist(2 * ENTRIES)
+            await fleet.send_repeatedly(2 * ENTRIES)
             for number in range(ENTRIES):
                 for body in (b"other body", b""):
                     assert (await fleet.ask(number, body))[0] == 200
 
         play(tmp_path, scenario)
 
-    def test_neighbours_are_served_while_targets_end(self, tmp_path):
-        """Each target that ends runs other requests, which come again as they are."""
+    def test_concurrent_requests_are_served_while_targets_crash(self, tmp_path):
+        """Each crashed target also runs other requests, which are retried unchanged."""
 
         async def scenario(fleet):
             for target in fleet.targets:
@@ -91,7 +91,7 @@
 
             bodies = [b"neighbour %d" % number for number in range(8)]
             running = [asyncio.create_task(neighbour(body)) for body in bodies]
-            await fleet.insist(3 * ENTRIES)
+            await fleet.send_repeatedly(3 * ENTRIES)
             done.set()
             for statuses in await asyncio.gather(*running):
                 assert 503 not in statuses[-3:]
@@ -102,50 +102,50 @@
         play(tmp_path, scenario)
 
 
-class TestQuarantineLasts:
-    def test_entry_that_starts_again_is_told(self, tmp_path):
+class TestQuarantineIsKept:
+    def test_restarted_entry_receives_it(self, tmp_path):
         async def scenario(fleet):
-            await fleet.insist(2 * ENTRIES)
-            ended = fleet.ended()
+            await fleet.send_repeatedly(2 * ENTRIES)
+            crashed = fleet.crashed()
             await fleet.stop_service(fleet.entries[0])
             await fleet.start_entry(0)
             await fleet.until(lambda: fleet.serves(0))
             assert (await fleet.ask(0, CRASHING))[0] == 503
-            assert fleet.ended() == ended
+            assert fleet.crashed() == crashed
 
         play(tmp_path, scenario)
 
-    def test_control_instance_that_starts_again_is_told(self, tmp_path):
-        """Its disk holds nothing yet of what entries tell."""
+    def test_restarted_control_instance_receives_it(self, tmp_path):
+        """Its disk does not contain the reports of the entries yet."""
 
         async def scenario(fleet):
             await fleet.stop_service(fleet.control)
-            # How many targets one attempt may take is the retry budget's affair.
-            for _ in range(ENDED_MOST):
+            # The retry budget limits how many targets one attempt may be sent to.
+            for _ in range(MAX_CRASHED):
                 await fleet.ask(0, CRASHING)
-            ended = fleet.ended()
-            assert ended >= ENDED_MOST
+            crashed = fleet.crashed()
+            assert crashed >= MAX_CRASHED
             await fleet.start_control()
 
-            async def told():
+            async def received():
                 return bool(fleet.entries[1].crashes.suspects.quarantined())
 
-            await fleet.until(told)
+            await fleet.until(received)
             assert (await fleet.ask(1, CRASHING))[0] == 503
-            assert fleet.ended() == ended
+            assert fleet.crashed() == crashed
 
         play(tmp_path, scenario)
 
-    def test_survives_a_restart_of_all(self, tmp_path):
+    def test_survives_a_restart_of_all_instances(self, tmp_path):
         async def scenario(fleet):
-            await fleet.insist(2 * ENTRIES)
-            ended = fleet.ended()
+            await fleet.send_repeatedly(2 * ENTRIES)
+            crashed = fleet.crashed()
             await fleet.stop_services()
             await fleet.start_control()
             for number in range(ENTRIES):
                 await fleet.start_entry(number)
                 await fleet.until(lambda number=number: fleet.serves(number))
                 assert (await fleet.ask(number, CRASHING))[0] == 503
-            assert fleet.ended() == ended
+            assert fleet.crashed() == crashed
 
         play(tmp_path, scenario)
--- a/tests/test_direct_dispatch.py
+++ b/tests/test_direct_dispatch.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its final word, with targets that fail."""
+"""Dispatch of requests to failing targets, from arrival to the final result."""
 
 import asyncio
 
@@ -47,7 +47,7 @@
 
 
 class FakeAnswer:
-    """A target's answer: parts, then an end or a break."""
+    """A target's response: body parts, then the end or a broken connection."""
 
     def __init__(self, parts=(b"whole",), status=200, breaks=False, **said):
         self.status, self.headers, self.length = status, (), None
@@ -68,7 +68,7 @@
 
 
 class FakeClient:
-    """Answers sends in order; an exception in the list is raised."""
+    """Returns the given responses in order; raises those that are exceptions."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -83,31 +83,31 @@
 
 
 class FakeAllocator:
-    """Gives targets in turn that were not tried."""
+    """Allocates slots at targets that were not tried yet, in order."""
 
     def __init__(self, registry, starts_in_s=None):
         self.registry = registry
         self.starts_in_s = starts_in_s
-        self.out = 0
+        self.allocated = 0
         self.rates = []
 
     async def allocate(self, admitted, service, engine, tried, now_s, is_last=False):
         for target in self.registry.candidates(service, now_s):
             if target.target_id not in tried:
-                self.out += 1
-                by_s = now_s + self.starts_in_s if self.starts_in_s else None
-                return AllocatedSlot(target, 1, self.give_back, by_s)
+                self.allocated += 1
+                deadline_s = now_s + self.starts_in_s if self.starts_in_s else None
+                return AllocatedSlot(target, 1, self.release, deadline_s)
         return Refusal(RefusalKind.UNAVAILABLE, 0.25, "no target")
 
-    def give_back(self, outcome=None):
-        self.out -= 1
+    def release(self, outcome=None):
+        self.allocated -= 1
 
     def report_rate(self, target, now_s):
         self.rates.append((target.target_id, target.rate.per_s))
 
 
 class FakeCaller:
-    """Keeps what a caller got."""
+    """Stores the response that a caller gets."""
 
     def __init__(self):
         self.started = False
@@ -128,13 +128,13 @@
         self.was_cut = True
 
 
-def watch(ended=False):
-    """Return a watch to which all targets have ended, or none."""
+def crash_tracker(crashed=False):
+    """Return a tracker for which all targets have exited, or none."""
 
     async def refuses(address):
-        return ended
+        return crashed
 
-    return CrashTracker(b"k" * 40, Liveness(refuses), lambda news: None)
+    return CrashTracker(b"k" * 40, Liveness(refuses), lambda update: None)
 
 
 def events(first, last):
@@ -148,10 +148,10 @@
     attempts=2,
     targets=3,
     starts_in_s=None,
-    ended=False,
+    crashed=False,
     crashes=None,
 ):
-    """Serve one request; return what became of it."""
+    """Serve one request; return its refusal, its caller and the client."""
     route = Route(
         "r", "h", "/", kind, (Split("s", 1),), 6000, 400, 400, 1, attempts
     )._replace(resumable=resumable)
@@ -172,7 +172,7 @@
         allocator,
         client,
         EntryMetrics(Metrics("e", "entry")),
-        crashes or watch(ended),
+        crashes or crash_tracker(crashed),
     )
     table = RoutingTable(1, (route,), (Service("s"),), (Account("a", ("k",)),))
     dispatcher.index = RouteIndex(table)
@@ -185,31 +185,31 @@
         return await dispatcher.serve(request, caller)
 
     refusal = asyncio.run(run())
-    assert allocator.out == 0
+    assert allocator.allocated == 0
     return refusal, caller, client
 
 
 class SilentAnswer(FakeAnswer):
-    """A head at once, and no event for a second."""
+    """Status and headers at once, and no event for a second."""
 
     async def parts(self):
         await asyncio.sleep(1.0)
         yield events(1, 2)
 
 
-class TestWeightsWhoseTimeEnds:
-    """A slow engine: the first event would come after its weights' time."""
+class TestSupersededWeights:
+    """The first event of a slow engine would come after its version's grace period."""
 
     def serve(self, *answers):
         return serve(*answers, starts_in_s=0.05)
 
-    def test_request_that_has_not_begun_is_dropped(self):
+    def test_request_that_has_not_started_is_dropped(self):
         first = SilentAnswer()
         refusal, caller, client = self.serve(first, FakeAnswer([b""]))
         assert first.closed and not caller.body
         assert len(client.plans) == 2
 
-    def test_request_that_has_begun_goes_on(self):
+    def test_started_request_continues(self):
         class Slow(FakeAnswer):
             async def parts(self):
                 yield events(1, 1)
@@ -222,7 +222,7 @@
 
 
 def dispatcher_without_targets(confirmed=True):
-    """Return a dispatcher that only admits, with one route to `/a/`."""
+    """Return a dispatcher that can only admit, with one route to `/a/`."""
     registry = TargetRegistry()
     dispatcher = Dispatcher(
         SETTINGS,
@@ -230,7 +230,7 @@
         FakeAllocator(registry),
         None,
         EntryMetrics(Metrics("e", "entry")),
-        watch(),
+        crash_tracker(),
         lambda: confirmed,
     )
     split = (Split("s", 1),)
@@ -241,27 +241,27 @@
 
 
 class TestReturnedCallers:
-    """Load: callers are refused on a route, and some of them come back."""
+    """Callers are refused on a route, and some of them retry."""
 
-    def admit(self, *patiences_s):
+    def admit(self, *max_waits_s):
         dispatcher = dispatcher_without_targets()
         dispatcher.returning["r"].record_refusal(0.0)
         requests = (
             CallerRequest("id", "POST", "/a/", "h", "/a/", (), b"", "k", 1.0, each)
-            for each in patiences_s
+            for each in max_waits_s
         )
         return [dispatcher.admit(request).returned for request in requests]
 
-    def test_known_by_the_time_that_they_state(self):
+    def test_are_detected_by_their_stated_wait(self):
         assert self.admit(6.0, 5.3, 4.4) == [False, False, True]
 
-    def test_caller_that_states_no_time_makes_no_other_one_late(self):
-        """It counts as waiting for the route's limit, not for half a minute."""
+    def test_caller_without_deadline_makes_no_other_late(self):
+        """It counts as waiting for the route's limit rather than half a minute."""
         assert self.admit(30.0, 5.3) == [False, False]
 
 
-class TestTableNotConfirmed:
-    """An entry that just started may hold a table older than the one in force."""
+class TestUnconfirmedTable:
+    """The routing table of an entry that has just started may be stale."""
 
     def admit(self, confirmed, path, key):
         return dispatcher_without_targets(confirmed).admit(
@@ -275,18 +275,18 @@
             ("/a/", "old", RefusalKind.BAD_KEY),
         ],
     )
-    def test_refuses_for_good_only_by_a_confirmed_one(self, path, key, kind):
+    def test_refusal_is_final_only_with_confirmed_table(self, path, key, kind):
         assert self.admit(True, path, key).kind is kind
         early = self.admit(False, path, key)
         assert early.kind is RefusalKind.NOT_READY
         assert early.retry_s > 0
 
-    def test_serves_what_it_holds(self):
+    def test_known_route_is_served(self):
         assert self.admit(False, "/a/", "k").route.name == "r"
 
 
 class TestStreams:
-    def test_goes_on_behind_the_last_whole_event(self):
+    def test_resumes_after_the_last_complete_event(self):
         first = FakeAnswer([events(1, 3) + b"id: 4\nda"], breaks=True)
         refusal, caller, client = serve(first, FakeAnswer([events(4, 6)]))
         assert refusal is None and caller.ended
@@ -294,23 +294,23 @@
         assert client.plans[1].resume_after == "3"
         assert client.plans[0].target_id != client.plans[1].target_id
 
-    def test_is_cut_when_nobody_can_go_on(self):
+    def test_is_cut_without_another_target(self):
         broken = FakeAnswer([events(1, 3)], breaks=True)
         refusal, caller, client = serve(broken, targets=1)
         assert refusal is None and caller.was_cut and not caller.ended
         assert len(client.plans) == 1
 
-    def test_that_may_not_be_resumed_is_not_sent_again(self):
+    def test_non_resumable_stream_is_not_sent_again(self):
         broken = FakeAnswer([events(1, 3)], breaks=True)
         refusal, caller, client = serve(broken, resumable=False)
         assert caller.was_cut and len(client.plans) == 1
 
-    def test_end_within_an_event_is_no_end(self):
+    def test_end_within_an_event_is_a_failure(self):
         short = FakeAnswer([events(1, 2) + b"id: 3"])
         refusal, caller, client = serve(short, FakeAnswer([events(3, 4)]))
         assert caller.body == events(1, 4) and caller.ended
 
-    def test_continuation_that_fails_is_not_joined(self):
+    def test_failed_continuation_is_not_relayed(self):
         broken = FakeAnswer([events(1, 2)], breaks=True)
         refusal, caller, _ = serve(broken, FakeAnswer([b"oops"], status=500))
         assert caller.body == events(1, 2) and caller.was_cut
@@ -326,7 +326,7 @@
         assert refusal.kind is RefusalKind.FAILED
         assert len(client.plans) == 1
 
-    def test_lost_body_may_have_run(self):
+    def test_incomplete_body_may_have_run(self):
         refusal, caller, client = self.once(FakeAnswer([b"part"], breaks=True))
         assert refusal.kind is RefusalKind.FAILED
         assert not caller.started and len(client.plans) == 1
@@ -339,18 +339,18 @@
             FakeAnswer(not_run=True, other_instance=True, status=421),
         ],
     )
-    def test_what_did_not_run_may_go_elsewhere(self, answer):
+    def test_request_that_did_not_run_is_sent_elsewhere(self, answer):
         refusal, caller, client = self.once(answer, FakeAnswer())
         assert refusal is None and caller.body == b"whole"
         assert len(client.plans) == 2
 
-    def test_refusal_promises_only_what_is_sure(self):
+    def test_refusal_guarantees_only_what_is_certain(self):
         refusal, _, _ = self.once(NotSentError("refused"), targets=1)
         assert refusal.kind is RefusalKind.UNAVAILABLE
         refusal, _, _ = self.once(NotSentError("no"), BrokenAnswerError("reset"))
         assert refusal.kind is RefusalKind.FAILED
 
-    def test_own_error_of_a_target_is_final(self):
+    def test_error_response_of_a_target_is_final(self):
         refusal, caller, client = self.once(FakeAnswer([b"failed"], status=500))
         assert refusal is None
         assert (caller.status, caller.body) == (500, b"failed")
@@ -362,7 +362,7 @@
 
 
 class TestIdempotent:
-    def test_failed_answer_is_asked_for_again(self):
+    def test_failed_request_is_retried(self):
         failed = FakeAnswer([b"failed"], status=500)
         refusal, caller, client = serve(
             failed, FakeAnswer(), kind=RouteKind.IDEMPOTENT, resumable=False
@@ -370,7 +370,7 @@
         assert refusal is None and caller.body == b"whole"
         assert failed.closed
 
-    def test_not_more_sends_than_attempts(self):
+    def test_sends_are_limited_by_attempts(self):
         refusal, _, client = serve(
             BrokenAnswerError("a"),
             BrokenAnswerError("b"),
@@ -383,7 +383,7 @@
 
 
 class TestStartingEntry:
-    """Load: callers that come to an entry which has just started."""
+    """Requests that arrive at an entry which has just started."""
 
     def dispatcher(self):
         registry = TargetRegistry()
@@ -393,7 +393,7 @@
             FakeAllocator(registry),
             FakeClient(),
             EntryMetrics(Metrics("e", "entry")),
-            watch(),
+            crash_tracker(),
         )
 
     async def ask(self, dispatcher, **more):
@@ -403,7 +403,7 @@
         )
         return await dispatcher.serve(request, FakeCaller())
 
-    def test_request_waits_for_the_first_table(self):
+    def test_request_waits_for_the_first_routing_table(self):
         async def run():
             dispatcher = self.dispatcher()
             asking = asyncio.create_task(self.ask(dispatcher))
@@ -413,7 +413,7 @@
 
         assert asyncio.run(run()).kind is RefusalKind.NO_ROUTE
 
-    def test_those_refused_are_spread_over_what_they_can_wait(self):
+    def test_retries_are_spread_over_the_time_left(self):
         async def run():
             dispatcher = self.dispatcher()
             asks = [self.ask(dispatcher) for _ in range(20)]
@@ -422,22 +422,23 @@
         refusals = asyncio.run(run())
         assert {r.kind for r in refusals} == {RefusalKind.NOT_READY}
         pauses = [r.retry_s for r in refusals]
-        # All came back half a second later before, and most were refused for good.
+        # Without the spread, all retried after half a second and most got a final
+        # refusal.
         assert min(pauses) > 0.75
         assert max(pauses) - min(pauses) > 0.3
         assert max(pauses) < 6.0 / 3
 
 
-class TestPatience:
-    def patience_s(self, has_sends_left, kind=RouteKind.IDEMPOTENT):
+class TestHeadTimeout:
+    def head_timeout_s(self, has_sends_left, kind=RouteKind.IDEMPOTENT):
         route = Route("r", "h", "/", kind, (Split("s", 1),), 6000, 400, 400, 1)
         return head_timeout_s(route, 1.0, has_sends_left)
 
-    def test_last_send_has_all_of_the_time(self):
-        assert self.patience_s(has_sends_left=False) is None
+    def test_last_send_has_all_the_time_left(self):
+        assert self.head_timeout_s(has_sends_left=False) is None
 
     def test_earlier_send_leaves_time_for_another(self):
-        assert self.patience_s(has_sends_left=True) == 0.5
+        assert self.head_timeout_s(has_sends_left=True) == 0.5
 
-    def test_non_idempotent_request_is_never_given_up_early(self):
-        assert self.patience_s(True, RouteKind.NON_IDEMPOTENT) is None
+    def test_non_idempotent_request_is_never_abandoned_early(self):
+        assert self.head_timeout_s(True, RouteKind.NON_IDEMPOTENT) is None
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""A target that has ended, told from a connection that has."""
+"""Distinction of an exited target from a lost connection."""
 
 import asyncio
 
@@ -27,16 +27,16 @@
 
         assert not asyncio.run(run())
 
-    def test_address_that_is_none(self):
+    def test_invalid_address(self):
         assert not asyncio.run(refuses_connections("nowhere"))
 
 
 class TestLiveness:
-    def test_requests_that_break_off_together_ask_once(self):
-        asked = []
+    def test_concurrent_checks_share_one_probe(self):
+        probed = []
 
         async def refuses(address):
-            asked.append(address)
+            probed.append(address)
             await asyncio.sleep(0)
             return True
 
@@ -47,13 +47,13 @@
                 *(liveness.has_ended(each) for each in (one, one, one, other))
             )
             assert answers == [True] * 4
-            assert sorted(asked) == [one.address, other.address]
+            assert sorted(probed) == [one.address, other.address]
             assert await liveness.has_ended(one)
-            assert len(asked) == 3
+            assert len(probed) == 3
 
         asyncio.run(run())
 
-    def test_asker_that_leaves_stops_no_other(self):
+    def test_cancelled_check_does_not_cancel_others(self):
         async def run():
             answer = asyncio.Event()
 
@@ -72,7 +72,7 @@
         asyncio.run(run())
 
     def test_replaced_target_has_ended(self):
-        """Its successor at the address takes connections."""
+        """Its successor at the address accepts connections."""
         one = target(1)
         one.replaced = True
         assert asyncio.run(Liveness(None).has_ended(one))
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Who lets requests pass to targets that state a rate."""
+"""Rate limits and rate permits for targets that advertise a rate."""
 
 import asyncio
 import itertools
@@ -24,18 +24,18 @@
 
 
 def allowed(per_s):
-    """Return what the users allow in any window, over all entries."""
+    """Return the permitted requests in any window, over all entries."""
     return 1.5 * per_s * WINDOW_S + 5
 
 
-def most_in_window(times):
+def max_in_window(times):
     return max(
         (sum(at_s <= t < at_s + WINDOW_S for t in times) for at_s in times), default=0
     )
 
 
-def pressed(limits, per_s, seconds, senders=1):
-    """Press on a limit; return when requests passed."""
+def apply_load(limits, per_s, seconds, senders=1):
+    """Send far more than a limit permits; return when requests passed."""
     passed, step_s = [], 0.02
     for step in range(int(seconds / step_s)):
         now_s = step * step_s
@@ -48,31 +48,31 @@
 
 class TestRateLimits:
     @pytest.mark.parametrize("per_s", [0.1, 1.0, 1.5, 10.0, 40.0])
-    def test_passes_the_rate_and_no_more(self, per_s):
+    def test_passes_at_most_the_rate(self, per_s):
         seconds = 40.0
-        passed = pressed(RateLimits(), per_s, seconds)
-        assert most_in_window(passed) <= allowed(per_s)
+        passed = apply_load(RateLimits(), per_s, seconds)
+        assert max_in_window(passed) <= allowed(per_s)
         assert len(passed) >= 0.9 * (per_s * seconds - 1)
 
-    def test_nothing_passes_at_once_by_a_limit_that_is_new(self):
+    def test_new_limit_permits_nothing_at_once(self):
         limits = RateLimits()
         limits.update(ONE, 2.0, 10.0)
         assert not limits.take(ONE, 10.0)
         assert limits.wait_s(ONE, 10.0) == pytest.approx(0.5)
         assert limits.take(ONE, 10.5)
 
-    def test_target_without_a_word_is_not_limited(self):
+    def test_target_without_a_rate_is_not_limited(self):
         limits = RateLimits()
         assert limits.wait_s(ONE, 0.0) == 0.0
         assert all(limits.take(ONE, 0.0) for _ in range(100))
 
-    def test_another_start_begins_without_a_limit(self):
+    def test_next_incarnation_starts_without_a_limit(self):
         limits = RateLimits()
         limits.update(ONE, 1.0, 0.0)
         assert not limits.take(ONE, 0.1)
         assert limits.take("i-1/1700000000000", 0.1)
 
-    def test_newer_word_counts_whoever_tells_it(self):
+    def test_newest_signal_applies_whoever_reports_it(self):
         limits = RateLimits()
         limits.update(ONE, 1.0, 5.0)
         limits.update(ONE, None, 6.0)
@@ -83,29 +83,29 @@
         assert limits.is_limited(ONE)
 
     def test_change_gives_no_new_burst(self):
-        """Two answers in turn name two rates."""
+        """Alternating responses advertise two rates."""
         limits, passed = RateLimits(), []
         for step in range(400):
             now_s = step * 0.02
             limits.update(ONE, 1.0 + step % 2, now_s)
             if limits.take(ONE, now_s):
                 passed.append(now_s)
-        assert most_in_window(passed) <= allowed(1.0)
+        assert max_in_window(passed) <= allowed(1.0)
 
-    def test_rest_gives_a_short_burst(self):
+    def test_idle_time_gives_a_short_burst(self):
         limits = RateLimits()
         limits.update(ONE, 20.0, 0.0)
         assert not limits.take(ONE, 0.0)
         passed = sum(limits.take(ONE, 100.0) for _ in range(100))
         assert passed == 20 * BURST_S
 
-    def test_very_large_rate_stops_nothing(self):
+    def test_very_large_rate_limits_nothing(self):
         limits = RateLimits()
         limits.update(ONE, 1e300, 0.0)
         assert not limits.take(ONE, 0.0)
         assert all(limits.take(ONE, 0.01) for _ in range(1000))
 
-    def test_target_that_is_gone_is_forgotten(self):
+    def test_gone_target_is_removed(self):
         limits = RateLimits()
         limits.update(ONE, 1.0, 0.0)
         limits.remove_expired(RETENTION_S)
@@ -114,32 +114,32 @@
         assert not limits.limits
 
 
-class TestPlacesWithARate:
+class TestSlotsWithARate:
     def limited(self, per_s=2.0):
         places = open_slots()
         places.rate_limits.update("", per_s, 0.0)
         return places
 
-    def test_request_beyond_it_is_denied_at_once_with_a_time(self):
+    def test_request_beyond_it_is_denied_at_once_with_a_retry_time(self):
         places = self.limited()
-        verdict = places.request_slot(slot_request(1), 0.0)
-        assert verdict.denied and verdict.retry_ms == pytest.approx(500.0)
+        decision = places.request_slot(slot_request(1), 0.0)
+        assert decision.denied and decision.retry_ms == pytest.approx(500.0)
         assert places.request_slot(slot_request(2), 500.0).granted
         assert places.request_slot(slot_request(3), 500.0).denied
         assert not places.queue
 
-    def test_those_that_wait_when_it_is_stated_may_go_elsewhere(self):
+    def test_queued_requests_are_denied_when_it_is_advertised(self):
         places = open_slots()
         for number in range(40):
             places.request_slot(slot_request(number, tokens=1, wait_ms=5000.0), 0.0)
         assert places.queue
         waiting = len(places.queue)
         places.rate_limits.update("", 1.0, 0.0)
-        verdicts = list(places.advance(1.0))
-        assert len(verdicts) == waiting
-        assert all(verdict.denied and verdict.retry_ms > 0 for verdict in verdicts)
+        decisions = list(places.advance(1.0))
+        assert len(decisions) == waiting
+        assert all(decision.denied and decision.retry_ms > 0 for decision in decisions)
 
-    def test_ends_with_the_word_that_there_is_none(self):
+    def test_ends_when_it_is_withdrawn(self):
         places = self.limited()
         assert places.request_slot(slot_request(1), 0.0).denied
         places.rate_limits.update("", None, 0.1)
@@ -149,7 +149,7 @@
 
 class TestSidecar:
     def test_keeps_a_rate_over_all_entries(self):
-        """Load: six entries press; each of them knows only its own requests."""
+        """Six entries send too much, and each of them sees only its own requests."""
         clock = itertools.count()
         granted = []
 
@@ -158,29 +158,29 @@
             now = SimpleNamespace(ms=0.0)
             admission.now_ms = lambda: now.ms
             links = [EntryLink() for _ in range(6)]
-            news = TargetRate("", 1.5, 0)
-            await admission.receive(news, links[0], Frame(0, 0, news))
+            update = TargetRate("", 1.5, 0)
+            await admission.receive(update, links[0], Frame(0, 0, update))
             assert admission.heartbeat().state == AdmissionState.LIMITED.value
             for step in range(600):
                 now.ms = step * 20.0
                 link = links[step % 6]
                 number = next(clock)
                 await reserve(admission, link, number, wait_ms=400)
-                verdict = link.taken[-1]
-                if verdict.granted:
+                decision = link.taken[-1]
+                if decision.granted:
                     granted.append(now.ms / 1000)
                     admission.slots.release(f"r{number}", now.ms)
                 else:
-                    assert verdict.retry_ms > 0
+                    assert decision.retry_ms > 0
             admission.limit_timer.cancel()
 
         asyncio.run(run())
-        assert most_in_window(granted) <= allowed(1.5)
+        assert max_in_window(granted) <= allowed(1.5)
         assert len(granted) >= 0.9 * (1.5 * 12 - 1)
 
 
-class Holder(WrittenLink):
-    """A link to another control instance, or to one that is away."""
+class ControlLink(WrittenLink):
+    """A link to another control instance, or to one that is unreachable."""
 
     peer_id = "control-x"
 
@@ -211,9 +211,9 @@
     asyncio.run(run())
 
 
-class TestRateHolder:
+class TestRateOwner:
     def holders(self, *names):
-        """Return instances that all reach each other."""
+        """Return control instances that can all reach each other."""
         holders = {}
         for own in names:
             holders[own] = RateOwner(own, lambda own=own: links[own])
@@ -222,7 +222,7 @@
             async def decide(message):
                 return await holders[name].answer(message, from_entry=False)
 
-            return Holder(decide)
+            return ControlLink(decide)
 
         links = {
             own: {name: link_to(name) for name in names if name != own} for own in names
@@ -245,8 +245,8 @@
 
     @pytest.mark.parametrize("entries", [1, 6, 30])
     @pytest.mark.parametrize("per_s", [0.5, 1.5, 10.0])
-    def test_entries_together_keep_to_the_rate(self, entries, per_s):
-        """Load: all entries press at one target, through any instance."""
+    def test_entries_together_keep_the_rate(self, entries, per_s):
+        """All entries send too much to one target, through any control instance."""
         passed = []
 
         async def scenario(now):
@@ -264,26 +264,26 @@
                             passed.append(now.s)
 
         run_with_clock(scenario)
-        assert most_in_window(passed) <= allowed(per_s)
+        assert max_in_window(passed) <= allowed(per_s)
         assert len(passed) >= 0.5 * per_s * 12 - 1
 
     @pytest.mark.parametrize("per_s", [0.5, 1.5, 10.0])
-    def test_two_holders_of_a_cut_together_keep_to_the_rate(self, per_s):
+    def test_two_owners_of_a_partition_together_keep_the_rate(self, per_s):
         passed = []
 
         async def scenario(now):
-            apart = [RateOwner(name, dict) for name in "ab"]
+            partitioned = [RateOwner(name, dict) for name in "ab"]
             for _ in range(600):
                 now.s += 0.02
-                for holder in apart:
+                for holder in partitioned:
                     query = PassageQuery(ONE, per_s, 0)
                     if (await holder.answer(query, from_entry=True)).granted:
                         passed.append(now.s)
 
         run_with_clock(scenario)
-        assert most_in_window(passed) <= allowed(per_s)
+        assert max_in_window(passed) <= allowed(per_s)
 
-    def test_question_without_a_rate_passes(self):
+    def test_query_without_a_rate_is_permitted(self):
         async def scenario(now):
             holder = RateOwner("a", dict)
             for _ in range(20):
@@ -292,9 +292,9 @@
 
         run_with_clock(scenario)
 
-    def test_holder_that_is_away_lets_nothing_pass(self):
+    def test_unreachable_owner_permits_nothing(self):
         async def scenario(now):
-            holder = RateOwner("a", lambda: {"b": Holder(), "c": Holder()})
+            holder = RateOwner("a", lambda: {"b": ControlLink(), "c": ControlLink()})
             answers = [
                 await holder.answer(PassageQuery(f"i-{n}/0", 1.0, 0), from_entry=True)
                 for n in range(20)
@@ -303,15 +303,15 @@
 
         run_with_clock(scenario)
 
-    def test_end_reaches_the_holder_and_then_the_others(self):
+    def test_withdrawal_reaches_the_owner_and_then_the_others(self):
         async def scenario(now):
             holders, links = self.holders("a", "b")
             query = PassageQuery(ONE, 1.0, 0)
             assert not (await holders["a"].answer(query, from_entry=True)).granted
             now.s += 1.0
-            news = TargetRate(ONE, 0.0, 0)
+            update = TargetRate(ONE, 0.0, 0)
             for own, holder in holders.items():
-                holder.receive_rate(news, from_entry=True)
+                holder.receive_rate(update, from_entry=True)
                 for name, link in links[own].items():
                     for message in link.taken:
                         holders[name].receive_rate(message, from_entry=False)
@@ -329,9 +329,9 @@
     return target
 
 
-class TestLimitedTargets:
+class TestRatePermitClient:
     def ask(self, answers, times_s):
-        """Ask for one target at some times; return the waits and the questions."""
+        """Request permits at given times; return waits, queries and the target."""
 
         async def run():
             replies = iter(answers)
@@ -339,46 +339,46 @@
             async def decide(message):
                 return next(replies)
 
-            link = Holder(decide if answers else None)
-            limited = RatePermitClient(lambda: [link])
+            link = ControlLink(decide if answers else None)
+            permits = RatePermitClient(lambda: [link])
             target = limited_target()
-            waits_s = [await limited.wait_s(target, now_s) for now_s in times_s]
+            waits_s = [await permits.wait_s(target, now_s) for now_s in times_s]
             return waits_s, link.asked, target
 
         return asyncio.run(run())
 
-    def test_target_without_a_rate_is_not_asked_for(self):
+    def test_target_without_a_rate_needs_no_permit(self):
         async def run():
-            limited = RatePermitClient(list)
-            return await limited.wait_s(limited_target(per_s=None), 1.0)
+            permits = RatePermitClient(list)
+            return await permits.wait_s(limited_target(per_s=None), 1.0)
 
         assert asyncio.run(run()) == 0.0
 
-    def test_full_target_is_asked_for_again_only_when_a_request_may_pass(self):
+    def test_no_permit_is_requested_while_the_target_is_at_its_limit(self):
         answers = [Passage(False, 400, True), Passage(True, 0, True)]
         waits_s, asked, _ = self.ask(answers, [1.0, 1.1, 1.3, 1.5])
         assert waits_s == pytest.approx([0.4, 0.3, 0.1, 0.0])
         assert asked == [PassageQuery(ONE, 2.0, 1000), PassageQuery(ONE, 2.0, 1500)]
 
-    def test_end_that_others_heard_is_taken_over(self):
+    def test_withdrawal_seen_by_others_is_adopted(self):
         waits_s, asked, target = self.ask([Passage(True, 0, False)], [1.0, 1.1])
         assert waits_s == [0.0, 0.0] and len(asked) == 1
         assert target.rate.per_s is None
 
-    def test_entry_that_is_alone_lets_little_pass(self):
-        """Load: a whole fleet of entries is cut off from all control instances."""
+    def test_disconnected_entry_permits_a_fraction(self):
+        """All entries are partitioned from all control instances."""
         times_s = [step * 0.02 for step in range(1, 3000)]
         waits_s, _, _ = self.ask([], times_s)
         passed = sum(wait_s == 0 for wait_s in waits_s)
         assert 2 <= passed <= 2.0 * 60 / 20
         assert all(wait_s >= 0 for wait_s in waits_s)
 
-    def test_sidecar_is_told_before_any_other(self):
+    def test_rate_is_reported_to_the_sidecar_if_there_is_one(self):
         async def run():
-            control, sidecar = Holder(), WrittenLink("sidecar")
-            limited = RatePermitClient(lambda: [control])
-            limited.report_rate(limited_target(), sidecar, 0.5)
-            limited.report_rate(limited_target(None), None, 0.5)
+            control, sidecar = ControlLink(), WrittenLink("sidecar")
+            permits = RatePermitClient(lambda: [control])
+            permits.report_rate(limited_target(), sidecar, 0.5)
+            permits.report_rate(limited_target(None), None, 0.5)
             return control.taken, sidecar.taken
 
         control, sidecar = asyncio.run(run())
@@ -396,6 +396,6 @@
             messages.SuspectNews((messages.Suspect(b"d" * 16, 1, ("a", "b"), 9),)),
         ],
     )
-    def test_survive_the_wire(self, message):
+    def test_round_trip(self, message):
         data = codec.encode(Frame(1, 0, message))
         assert codec.decode(data[codec.HEADER.size :]).message == message
--- a/tests/test_response_signals.py
+++ b/tests/test_response_signals.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves in the heads of their answers."""
+"""Signals about targets in the headers of their responses."""
 
 import asyncio
 from types import SimpleNamespace
@@ -26,7 +26,7 @@
 DATE = "Thu, 03 Dec 2026 12:00:00 GMT"
 
 
-def rest(*texts, status=503, date=DATE):
+def parse(*texts, status=503, date=DATE):
     headers = CIMultiDict([("Retry-After", text) for text in texts])
     if date:
         headers["Date"] = date
@@ -51,7 +51,7 @@
         ],
     )
     def test_readable(self, texts, seconds):
-        assert rest(*texts).seconds == seconds
+        assert parse(*texts).seconds == seconds
 
     @pytest.mark.parametrize(
         "text",
@@ -59,18 +59,18 @@
         + ["Thu, 99 Dec 2026 12:00:04 GMT", "1 Jan 1 0:0:0 +9999999999999999999"],
     )
     def test_unreadable(self, text):
-        assert rest(text) == RequestedCooldown(0.0, text)
+        assert parse(text) == RequestedCooldown(0.0, text)
 
-    def test_date_without_the_answers_own_is_unreadable(self):
-        assert rest(DATE, date="").invalid_text == DATE
+    def test_date_without_date_header_is_unreadable(self):
+        assert parse(DATE, date="").invalid_text == DATE
 
     @pytest.mark.parametrize("status", [200, 421, 429, 500])
-    def test_other_statuses_say_nothing_of_the_target(self, status):
-        assert rest("3", status=status) == RequestedCooldown()
+    def test_other_statuses_request_no_cooldown(self, status):
+        assert parse("3", status=status) == RequestedCooldown()
 
 
 class TestParseStatements:
-    def test_all_of_one_answer(self):
+    def test_all_signals_of_a_response(self):
         headers = {
             "X-Server-Load": "3,0,8",
             "Server-Limit": "1.5",
@@ -83,50 +83,52 @@
         assert signals.cooldown.seconds == 3.0
         assert signals.leaving
 
-    def test_answer_that_says_nothing(self):
+    def test_response_without_signals(self):
         assert parse_statements(200, CIMultiDict()) == ResponseSignals()
 
     @pytest.mark.parametrize("text", ["", "0", "no", "-1", "11"])
-    def test_only_a_clear_word_means_leaving(self, text):
+    def test_only_one_value_means_leaving(self, text):
         headers = CIMultiDict({"Server-Leaving": text})
         assert not parse_statements(200, headers).leaving
 
 
 class TestLogs:
-    def test_request_that_was_turned_away_is_told_with_what_the_target_said(
-        self, caplog
-    ):
+    def test_rejected_request_is_logged_with_the_signals(self, caplog):
         caplog.set_level("INFO")
         signals = ResponseSignals(cooldown=RequestedCooldown(3.0))
-        away = FakeAnswer(status=503, not_run=True, signals=signals)
-        serve(away, FakeAnswer([events(1, 2)]))
+        rejected = FakeAnswer(status=503, not_run=True, signals=signals)
+        serve(rejected, FakeAnswer([events(1, 2)]))
         (line,) = [
             r for r in caplog.records if r.message == "target turned a request away"
         ]
         assert (line.target, line.status, line.rest_s) == ("i-0", 503, 3.0)
 
 
-class TestKnownRest:
-    def heard(self, *words):
-        known = CooldownTracker()
+class TestCooldownTracker:
+    def track(self, *requests):
+        tracker = CooldownTracker()
         begins = [
-            known.observe(RequestedCooldown(rest_s), now_s) for rest_s, now_s in words
+            tracker.observe(RequestedCooldown(cooldown_s), now_s)
+            for cooldown_s, now_s in requests
         ]
-        return known, begins
+        return tracker, begins
 
-    def test_longest_word_counts(self):
-        known, begins = self.heard((3.0, 1.0), (1.0, 1.5), (5.0, 2.0), (0.0, 2.5))
-        assert known.until_s == 7.0
+    def test_longest_cooldown_applies(self):
+        tracker, begins = self.track((3.0, 1.0), (1.0, 1.5), (5.0, 2.0), (0.0, 2.5))
+        assert tracker.until_s == 7.0
         assert begins == [True, False, False, False]
 
-    def test_begins_again_after_its_end(self):
-        known, begins = self.heard((1.0, 1.0), (1.0, 2.0))
-        assert known.until_s == 3.0
+    def test_starts_again_after_its_end(self):
+        tracker, begins = self.track((1.0, 1.0), (1.0, 2.0))
+        assert tracker.until_s == 3.0
         assert begins == [True, True]
 
-    def test_what_is_no_time_is_told_once(self):
-        known, bad = CooldownTracker(), RequestedCooldown(0.0, "soon")
-        assert [known.is_first_invalid(bad) for _ in range(2)] == [True, False]
+    def test_unreadable_cooldown_is_reported_once(self):
+        tracker, unreadable = CooldownTracker(), RequestedCooldown(0.0, "soon")
+        assert [tracker.is_first_invalid(unreadable) for _ in range(2)] == [
+            True,
+            False,
+        ]
 
 
 def registry_of(*names, now_s=0.0):
@@ -140,29 +142,29 @@
     return TargetState(name, "s", f"{name}:80", "z", **fields)
 
 
-class TestTargetAtRest:
-    """Whose word it is, and for how long."""
+class TestTargetInCooldown:
+    """A cool-down applies to one incarnation until its end."""
 
-    REST = ResponseSignals(cooldown=RequestedCooldown(30.0))
+    COOLDOWN = ResponseSignals(cooldown=RequestedCooldown(30.0))
 
-    def test_news_of_control_instances_end_no_rest(self):
+    def test_updates_of_control_instances_do_not_end_it(self):
         registry = registry_of("a")
         target = registry.targets["a"]
-        target.record_signals(self.REST, 0.9, 1.0)
+        target.record_signals(self.COOLDOWN, 0.9, 1.0)
         registry.update([state_of("a", sequence=2)], 2.0)
         target.record_signals(ResponseSignals(), 0.8, 2.0)
         assert registry.candidates("s", 3.0) == []
         assert target.wait_s(3.0) == 28.0
 
-    def test_later_start_is_owed_nothing(self):
+    def test_restarted_target_has_none(self):
         registry = registry_of("a")
-        registry.targets["a"].record_signals(self.REST, 0.9, 1.0)
+        registry.targets["a"].record_signals(self.COOLDOWN, 0.9, 1.0)
         registry.update([state_of("a", sequence=0, started_ms=2)], 2.0)
         assert [t.target_id for t in registry.candidates("s", 2.0)] == ["a"]
 
-    def test_sweep_does_not_forget_a_rest(self):
+    def test_sweep_keeps_it(self):
         registry = registry_of("a")
-        registry.targets["a"].record_signals(self.REST, 0.9, 1.0)
+        registry.targets["a"].record_signals(self.COOLDOWN, 0.9, 1.0)
         registry.last_update_s = 25.0
         assert registry.sweep(25.0) == []
         registry.update([state_of("a", sequence=2)], 25.0)
@@ -170,10 +172,10 @@
         registry.last_update_s = 60.0
         assert [t.target_id for t in registry.sweep(60.0)] == ["a"]
 
-    def test_service_tells_when_its_first_rest_ends(self):
+    def test_service_is_throttled_until_the_first_end(self):
         registry = registry_of("a", "b", "c")
         a, b, c = registry.targets.values()
-        a.record_signals(self.REST, 0.9, 1.0)
+        a.record_signals(self.COOLDOWN, 0.9, 1.0)
         assert registry.throttled_s("s", 1.0) == 0.0
         b.record_signals(ResponseSignals(cooldown=RequestedCooldown(3.0)), 0.9, 1.0)
         c.state = c.state._replace(leaving=True)
@@ -182,11 +184,11 @@
         assert registry.throttled_s("s", 1.5) == 29.5
 
 
-class TestLastMoment:
-    """A place that was granted or waited for before the word is no leave to send."""
+class TestCooldownDuringAllocation:
+    """A slot must not be used if the engine requested a cool-down meanwhile."""
 
-    def placed(self, rests):
-        """Place a request at engines, the first of which asks for rest meanwhile."""
+    def allocate(self, cooldowns):
+        """Allocate a slot while the first engines request a cool-down."""
 
         async def run():
             registry = registry_of("a", "b")
@@ -200,7 +202,7 @@
 
             class Granting(FakeSidecars):
                 async def reserve(self, link, target, reservation):
-                    if len(self.reservations) < rests:
+                    if len(self.reservations) < cooldowns:
                         now_s = asyncio.get_running_loop().time()
                         target.record_signals(
                             ResponseSignals(cooldown=RequestedCooldown(3.0)),
@@ -219,51 +221,51 @@
                 "q", "POST", "/", "h", "/", (), b"", "", now_s, 5.4, 900, 90
             )
             admitted = Admitted(request, ROUTE, None, now_s + 5.4)
-            placed = await allocator.allocate(admitted, "s", ENGINE, set(), now_s)
-            return placed, released, registry
+            result = await allocator.allocate(admitted, "s", ENGINE, set(), now_s)
+            return result, released, registry
 
         return asyncio.run(run())
 
-    def test_place_is_given_back_and_another_engine_asked(self):
-        placed, released, registry = self.placed(rests=1)
-        assert isinstance(placed, AllocatedSlot)
+    def test_slot_is_released_and_another_engine_asked(self):
+        result, released, registry = self.allocate(cooldowns=1)
+        assert isinstance(result, AllocatedSlot)
         assert released == ["q"]
-        assert not registry.targets[placed.target.target_id].cooldown.until_s > 0
+        assert not registry.targets[result.target.target_id].cooldown.until_s > 0
 
-    def test_without_another_engine_the_end_of_the_rest_is_told(self):
-        placed, released, _ = self.placed(rests=2)
-        assert isinstance(placed, Refusal)
+    def test_without_another_engine_the_retry_time_is_its_end(self):
+        result, released, _ = self.allocate(cooldowns=2)
+        assert isinstance(result, Refusal)
         assert released == ["q", "q"]
-        assert 2.0 < placed.retry_s <= 3.0
+        assert 2.0 < result.retry_s <= 3.0
 
 
-class TestRequestThatIsTurnedAway:
-    REST = ResponseSignals(cooldown=RequestedCooldown(1.2))
+class TestRejectedRequest:
+    COOLDOWN = ResponseSignals(cooldown=RequestedCooldown(1.2))
 
-    def away(self):
-        return FakeAnswer(status=503, not_run=True, signals=self.REST)
+    def rejected(self):
+        return FakeAnswer(status=503, not_run=True, signals=self.COOLDOWN)
 
-    def test_no_second_send_where_all_rest(self):
-        refusal, _, client = serve(self.away(), targets=1)
+    def test_no_second_send_if_all_targets_are_in_cooldown(self):
+        refusal, _, client = serve(self.rejected(), targets=1)
         assert len(client.plans) == 1
         assert refusal.kind is RefusalKind.OVERLOADED
         assert refusal.retry_s >= 1.1
 
-    def test_two_sends_tell_when_the_first_rest_ends(self):
-        refusal, _, client = serve(self.away(), self.away(), targets=2)
+    def test_retry_time_after_two_sends_is_the_first_end(self):
+        refusal, _, client = serve(self.rejected(), self.rejected(), targets=2)
         assert len(client.plans) == 2
         assert refusal.retry_s >= 1.1
 
-    def test_word_without_the_promise_that_it_did_not_run_counts(self):
-        """A failure is passed on, and the target left alone all the same."""
-        failed = FakeAnswer(status=503, signals=self.REST)
+    def test_cooldown_counts_without_the_not_run_header(self):
+        """A failure is relayed to the caller, and the cool-down still applies."""
+        failed = FakeAnswer(status=503, signals=self.COOLDOWN)
         refusal, caller, client = serve(failed, targets=1)
         assert refusal is None and caller.status == 503
 
-    def test_other_instance_asks_for_nothing(self, caplog):
+    def test_signals_of_another_instance_are_ignored(self, caplog):
         caplog.set_level("INFO")
         other = FakeAnswer(
-            status=421, other_instance=True, not_run=True, signals=self.REST
+            status=421, other_instance=True, not_run=True, signals=self.COOLDOWN
         )
         serve(other, FakeAnswer([events(1, 2)]))
         assert not [r for r in caplog.records if r.message == "target asks for rest"]
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -59,7 +59,7 @@
         async def scenario(fleet):
             async def all_informed():
                 entries = fleet.entries.values()
-                return all(entry.dispatcher.entries == ENTRIES for entry in entries)
+                return all(entry.dispatcher.entry_count == ENTRIES for entry in entries)
 
             await fleet.until(all_informed)
 
--- a/tests/test_sidecars.py
+++ b/tests/test_sidecars.py
@@ -1,4 +1,4 @@
-"""An entry's questions to the sidecars of engines."""
+"""Links and slot requests of an entry to the sidecars of engines."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 class FakeLink:
-    """A link whose far end answers, queues, only beats, or is silent."""
+    """A link whose peer replies, queues, only sends heartbeats, or is unresponsive."""
 
     def __init__(self, answer_s=None, alive_s=None, queued_s=None):
         self.answer_s, self.alive_s, self.queued_s = answer_s, alive_s, queued_s
@@ -34,18 +34,18 @@
         call = self.calls[1] = Call(self, 1)
         loop = asyncio.get_running_loop()
         if self.alive_s is not None:
-            loop.call_later(self.alive_s, self.heard)
+            loop.call_later(self.alive_s, self.receive)
         if self.queued_s is not None:
             loop.call_later(self.queued_s, self.answer, call, QUEUED)
         if self.answer_s is not None:
             loop.call_later(self.answer_s, self.answer, call, GRANT)
         return call
 
-    def heard(self):
+    def receive(self):
         self.last_received = asyncio.get_running_loop().time()
 
     def answer(self, call, message):
-        self.heard()
+        self.receive()
         call.replies.put_nowait(Frame(1, 1, message, b""))
 
     def post(self, message):
@@ -84,8 +84,8 @@
 
 
 class TestSidecars:
-    def test_silent_one_is_left_alone_until_it_is_heard(self):
-        """A frozen instance's link counts as open for a second or more."""
+    def test_unresponsive_sidecar_is_unavailable_until_it_sends(self):
+        """The link of a frozen instance counts as open for a second or more."""
 
         async def scenario(sidecars, link, registry):
             target = registry.targets["i-1"]
@@ -94,20 +94,20 @@
             assert link.posted == [messages.Release("r")]
             assert not sidecars.is_available(target)
             assert sidecars.pending["10.0.0.1"] == 0
-            link.heard()
+            link.receive()
             assert sidecars.is_available(target)
 
         play(scenario)
 
-    def test_verdict_is_waited_for_where_the_request_stands_in_a_queue(self):
+    def test_waits_for_the_decision_on_a_queued_request(self):
         async def scenario(sidecars, link, registry):
             answer = await sidecars.reserve(link, registry.targets["i-1"], RESERVATION)
             assert answer == GRANT
 
         play(scenario, queued_s=0.01, answer_s=2 * MAX_WAIT_S)
 
-    def test_heartbeat_does_not_stand_for_an_answer(self):
-        """Over a narrow link old heartbeats come while the question still waits."""
+    def test_heartbeat_is_no_reply(self):
+        """Over a slow link, old heartbeats arrive while the slot request is queued."""
 
         async def scenario(sidecars, link, registry):
             assert (
@@ -118,22 +118,22 @@
 
         play(scenario, alive_s=0.01, answer_s=2 * MAX_WAIT_S)
 
-    def test_link_that_closes_tells_nothing_of_how_quick_the_next_is(self):
-        """A sidecar that has just started again has places, and is not slow."""
+    def test_closed_link_does_not_count_as_slow(self):
+        """A sidecar that has just restarted has free slots and is not slow."""
 
         async def scenario(sidecars, link, registry):
             target = registry.targets["i-1"]
-            asking = asyncio.create_task(sidecars.reserve(link, target, RESERVATION))
+            request = asyncio.create_task(sidecars.reserve(link, target, RESERVATION))
             await asyncio.sleep(0)
             closed = WireError(ResultCode.LINK_CLOSED, "sidecar")
             link.calls[1].replies.put_nowait(closed)
-            assert await asking is None
+            assert await request is None
             assert sidecars.load_of(target, now_s()).outstanding == 0
 
         play(scenario)
 
-    def test_slow_one_is_asked_after_busy_ones_that_answer(self):
-        """Load: a narrow link, whose sidecar still tells of the low load it had."""
+    def test_slow_sidecar_is_asked_after_busy_ones(self):
+        """Over a slow link, the sidecar's last heartbeat still reports a low load."""
 
         async def scenario(sidecars, link, registry):
             target = registry.targets["i-1"]
@@ -143,19 +143,19 @@
 
         play(scenario, alive_s=0.01, answer_s=2 * MAX_WAIT_S)
 
-    def test_caller_that_left_gives_its_place_back(self):
+    def test_slot_of_a_disconnected_caller_is_released(self):
         async def scenario(sidecars, link, registry):
             target = registry.targets["i-1"]
-            asking = asyncio.create_task(sidecars.reserve(link, target, RESERVATION))
+            request = asyncio.create_task(sidecars.reserve(link, target, RESERVATION))
             await asyncio.sleep(0)
-            asking.cancel()
-            await asyncio.gather(asking, return_exceptions=True)
+            request.cancel()
+            await asyncio.gather(request, return_exceptions=True)
             assert link.posted == [messages.Release("r")]
             assert sidecars.is_available(target)
 
         play(scenario)
 
-    def test_opening_engine_comes_after_one_with_room(self):
+    def test_opening_engine_comes_after_one_with_free_slots(self):
         async def scenario(sidecars, link, registry):
             target = registry.targets["i-1"]
             link.peer_heartbeat = messages.Heartbeat(state=OPENING_STATE)
@@ -164,11 +164,11 @@
 
         play(scenario)
 
-    def test_link_stays_while_another_target_is_on_its_host(self):
+    def test_link_is_kept_for_another_target_on_its_host(self):
         async def scenario(sidecars, link, registry):
             keeper = sidecars.keepers["10.0.0.1"]
             registry.targets.pop("i-1")
-            registry.take([state("i-2", port=81)], 0.0)
+            registry.update([state("i-2", port=81)], 0.0)
             sidecars.keep_links(["s"])
             await sidecars.drop_links()
             assert sidecars.keepers["10.0.0.1"] is keeper
--- a/tests/test_slot_allocation.py
+++ b/tests/test_slot_allocation.py
@@ -1,4 +1,4 @@
-"""How an entry asks the sidecars of engines for a place."""
+"""Slot requests of an entry to the sidecars of engines."""
 
 import asyncio
 from types import SimpleNamespace
@@ -23,11 +23,11 @@
 
 
 class FakeSidecars:
-    """Sidecars that give their verdicts after a time each."""
+    """Sidecars that return the given decisions, each after a delay."""
 
-    def __init__(self, *verdicts, verdict_s=0.0):
-        self.verdicts = list(verdicts)
-        self.verdict_s = verdict_s
+    def __init__(self, *decisions, decision_s=0.0):
+        self.decisions = list(decisions)
+        self.decision_s = decision_s
         self.reservations = []
 
     def is_selected(self, target):
@@ -44,15 +44,15 @@
 
     async def reserve(self, link, target, reservation):
         self.reservations.append(reservation)
-        await asyncio.sleep(self.verdict_s)
-        return self.verdicts.pop(0)
+        await asyncio.sleep(self.decision_s)
+        return self.decisions.pop(0)
 
     def release(self, link, request_id, *outcome):
         pass
 
 
-def place(sidecars, returned=False, count=3):
-    """Place one request at `count` engines."""
+def allocate(sidecars, returned=False, count=3):
+    """Allocate a slot for one request, with `count` engines."""
 
     async def run():
         now_s = asyncio.get_running_loop().time()
@@ -74,48 +74,48 @@
     return asyncio.run(run())
 
 
-class TestQuestions:
-    def test_time_spent_at_one_engine_is_not_promised_to_the_next(self):
-        """Load: sidecars that let a request wait before they deny it."""
-        sidecars = FakeSidecars(DENIED, DENIED, DENIED, verdict_s=0.02)
-        assert isinstance(place(sidecars), Refusal)
+class TestSlotRequests:
+    def test_time_spent_at_one_engine_is_not_offered_to_the_next(self):
+        """Sidecars queue a request for a while before they deny it."""
+        sidecars = FakeSidecars(DENIED, DENIED, DENIED, decision_s=0.02)
+        assert isinstance(allocate(sidecars), Refusal)
         waits = [reservation.wait_ms for reservation in sidecars.reservations]
         assert waits == sorted(waits, reverse=True) and len(set(waits)) == 3
 
-    def test_objective_is_not_shortened_for_a_caller_that_waits_for_less(self):
-        """Its limit ends after 5.4 s in place of 6 s; the objective is the same."""
+    def test_objective_does_not_depend_on_the_callers_wait(self):
+        """The caller waits 5.4 s instead of 6 s; the latency objective is the same."""
         sidecars = FakeSidecars(DENIED, DENIED, DENIED)
-        place(sidecars)
+        allocate(sidecars)
         first = sidecars.reservations[0]
         assert not first.late
         assert first.wait_ms > ROUTE.latency_ms / 2
 
-    def test_caller_that_comes_back_goes_last(self):
+    def test_returning_caller_is_late(self):
         sidecars = FakeSidecars(DENIED, DENIED, DENIED)
-        place(sidecars, returned=True)
+        allocate(sidecars, returned=True)
         assert all(reservation.late for reservation in sidecars.reservations)
 
 
-class TestEnginesAtTheirLimit:
-    """Engines that state a rate look empty, and deny at once."""
+class TestEnginesAtTheirRateLimit:
+    """Engines that advertise a rate look empty, and deny at once."""
 
     LIMITED = messages.Reserved(retry_ms=600, limited=True)
 
-    def test_take_no_tries_from_those_that_have_room(self):
-        """Load: half of the engines are at their limit, the others busy."""
+    def test_do_not_use_up_the_attempts_for_others(self):
+        """Nine engines are at their rate limit, the last one has a free slot."""
         sidecars = FakeSidecars(*[self.LIMITED] * 9, messages.Reserved(True, 1))
-        placed = place(sidecars, count=10)
-        assert not isinstance(placed, Refusal)
+        result = allocate(sidecars, count=10)
+        assert not isinstance(result, Refusal)
         assert len(sidecars.reservations) == 10
 
-    def test_all_at_their_limit_refuse_with_the_time_until_the_first(self):
+    def test_all_at_their_limit_refuse_with_the_shortest_wait(self):
         sooner = messages.Reserved(retry_ms=300, limited=True)
-        placed = place(FakeSidecars(self.LIMITED, sooner, self.LIMITED))
-        assert placed.retry_s == 0.3
+        result = allocate(FakeSidecars(self.LIMITED, sooner, self.LIMITED))
+        assert result.retry_s == 0.3
 
-    def test_full_engine_tells_when_to_come_back_before_one_at_its_limit(self):
-        """All that are refused can't come back for the next few requests."""
+    def test_retry_time_of_full_engine_has_precedence(self):
+        """An engine at its limit accepts too few requests for all that are refused."""
         sooner = messages.Reserved(retry_ms=100, limited=True)
         full = messages.Reserved(retry_ms=400)
-        placed = place(FakeSidecars(sooner, full, self.LIMITED))
-        assert placed.retry_s == 0.4
+        result = allocate(FakeSidecars(sooner, full, self.LIMITED))
+        assert result.retry_s == 0.4
--- a/tests/test_target_feed.py
+++ b/tests/test_target_feed.py
@@ -161,7 +161,7 @@
             if isinstance(message, messages.TargetNews):
                 registry.update(message.targets, now_s)
             else:
-                missed = registry.take_beats(message.beats, now_s)
+                missed = registry.record_heartbeats(message.beats, now_s)
                 instance.feed.answer(messages.TargetQuery(tuple(missed)), link)
 
 
