--- a/src/wisteriapulley/direct/registry.py
+++ b/src/wisteriapulley/direct/registry.py
@@ -1,4 +1,4 @@
-"""Target state as seen by one process, from updates and its own requests. Pure."""
+"""Target state as seen by one process, from updates and its own requests. No I/O."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -251,7 +251,7 @@
 
         Parameters
         ----------
-        beats : iterable of TargetBeat
+        heartbeats : iterable of TargetBeat
             Received from one control instance.
         now_s : float
             The loop's clock.
@@ -263,12 +263,14 @@
         """
         self.last_update_s = now_s
         stale: list[str] = []
-        for beat in heartbeats:
-            known = self.targets.get(beat.target_id)
-            if known is not None and includes(known.state, beat):
-                known.last_seen_s = max(known.last_seen_s, now_s - beat.age_ms / 1000)
-            elif known is not None or not beat.gone:
-                stale.append(beat.target_id)
+        for heartbeat in heartbeats:
+            known = self.targets.get(heartbeat.target_id)
+            if known is not None and includes(known.state, heartbeat):
+                known.last_seen_s = max(
+                    known.last_seen_s, now_s - heartbeat.age_ms / 1000
+                )
+            elif known is not None or not heartbeat.gone:
+                stale.append(heartbeat.target_id)
         return stale
 
     def update_target(self, state: TargetState, seen_s: float) -> None:
--- a/src/wisteriapulley/direct/sending.py
+++ b/src/wisteriapulley/direct/sending.py
@@ -34,7 +34,7 @@
 HEAD_TIMEOUT_FRACTION = 0.5
 # Normal processing takes up to this long, however short the caller's deadline is.
 MIN_HEAD_TIMEOUT_S = 0.45
-# A request with less time left than this is not sent.
+# A request with less time left than this is not sent: no target could serve it.
 MIN_SEND_S = 0.05
 HTTP_OK = 200
 SERVER_ERROR = 500
--- a/src/wisteriapulley/direct/sidecars.py
+++ b/src/wisteriapulley/direct/sidecars.py
@@ -76,7 +76,7 @@
         self.settings = settings
         self.identity = identity
         self.registry = registry
-        self.own = Member(identity.node_id, settings.failure_domain)
+        self.member = Member(identity.node_id, settings.failure_domain)
         self.regions = Regions(settings.failure_domain_regions)
         self.keepers: dict[str, LinkKeeper] = {}
         self.selected_hosts: set[str] = set()
@@ -123,7 +123,7 @@
             for target in self.registry.of_service(service)
             if not target.is_retired
         }
-        return choose_subset(members, self.own, self.regions, LINK_LIMITS)
+        return choose_subset(members, self.member, self.regions, LINK_LIMITS)
 
     def is_selected(self, target: Target) -> bool:
         """Return whether this entry requests slots from the sidecar of a target."""
--- a/src/wisteriapulley/direct/slot_allocation.py
+++ b/src/wisteriapulley/direct/slot_allocation.py
@@ -106,9 +106,9 @@
     Attributes
     ----------
     counted : int
-        Denials that count towards `MAX_SIDECARS_ASKED`. Those of engines at their
-        advertised rate or in a cool-down do not: such a sidecar denies at once, and
-        this does not indicate that the other engines are full.
+        Denials that count towards `MAX_SIDECARS_ASKED`, including missing links and
+        responses. Engines at their advertised rate or in a cool-down do not count:
+        their sidecars deny at once, which does not indicate the state of the others.
     full_s : list of float
         For each full engine, when it is likely to have a free slot.
     limited_s : list of float
@@ -224,7 +224,7 @@
         """Return the refusal for a service that has no available target."""
         wait_s = self.registry.throttled_s(service, now_s, is_last)
         if wait_s:
-            return Refusal(RefusalKind.OVERLOADED, wait_s, "all targets throttled")
+            return Refusal(RefusalKind.OVERLOADED, wait_s, "targets throttled")
         kind = RefusalKind.UNAVAILABLE if tried else RefusalKind.NOT_READY
         return Refusal(kind, DEFAULT_RETRY_S, "no target available")
 
@@ -272,10 +272,8 @@
             if wait_s < float("inf"):
                 waits_s.append(wait_s)
         if waits_s:
-            return Refusal(
-                RefusalKind.OVERLOADED, min(waits_s), "all targets throttled"
-            )
-        return Refusal(RefusalKind.OVERLOADED, DEFAULT_RETRY_S, "all targets full")
+            return Refusal(RefusalKind.OVERLOADED, min(waits_s), "targets throttled")
+        return Refusal(RefusalKind.OVERLOADED, DEFAULT_RETRY_S, "targets full")
 
     def report_rate(self, target: Target, now_s: float) -> None:
         """Report a target's advertised rate to the owner of its rate limit."""
@@ -305,9 +303,9 @@
                 break
             link = self.sidecars.link_to(target)
             if link is None:
-                place = self.allocate_without_sidecar(target, engine)
-                if place is not None:
-                    return place
+                slot = self.allocate_without_sidecar(target, engine)
+                if slot is not None:
+                    return slot
                 denials.counted += 1
                 continue
             reservation = self.make_reservation(admitted, engine, target, is_last)
@@ -318,8 +316,7 @@
                     return self.use_grant(
                         link, admitted.request, target, engine, answer
                     )
-                # The engine asked this entry for a cool-down after its sidecar had
-                # granted the slot.
+                # The engine throttled this entry after its sidecar granted the slot.
                 self.sidecars.release(link, admitted.request.request_id)
                 denials.add_throttled(wait_s)
                 continue
--- a/tests/plain_fleet.py
+++ b/tests/plain_fleet.py
@@ -123,7 +123,7 @@
         path = names.HEARTBEAT_CALL.format(target_id=target.target_id)
         await self.post(path, json.dumps(heartbeat).encode())
 
-    async def ask(self, number, body, path="/p/x", key="key-1"):
+    async def send(self, number, body, path="/p/x", key="key-1"):
         """Send a request to an entry; return the status and the Retry-After header."""
         url = f"http://{self.entry_hosts[number]}:{self.base + 8}{path}"
         headers = {
@@ -138,7 +138,7 @@
 
     async def serves(self, number):
         try:
-            return (await self.ask(number, b"first"))[0] == 200
+            return (await self.send(number, b"first"))[0] == 200
         except aiohttp.ClientError:
             return False
 
--- a/tests/test_advertised_limit.py
+++ b/tests/test_advertised_limit.py
@@ -1,4 +1,4 @@
-"""A target advertises how many requests per second it takes from all entries."""
+"""A target advertises how many requests per second it accepts from all entries."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
     return RATE_FACTOR * per_s * WINDOW_S + SLACK
 
 
-async def flood(ask, senders):
+async def flood(send, senders):
     """Send from several callers in a loop for some time; return the responses."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + FLOOD_S
@@ -37,7 +37,7 @@
 
     async def send_repeatedly(number):
         while loop.time() < until_s:
-            answers.append(await ask(number))
+            answers.append(await send(number))
             await asyncio.sleep(PAUSE_S)
 
     await asyncio.gather(*(send_repeatedly(number) for number in range(senders)))
@@ -52,10 +52,10 @@
         async def scenario(fleet):
             target.rate = str(PER_S)
             for number in range(ENTRIES):
-                assert (await fleet.ask(number, b"initial"))[0] == 200
+                assert (await fleet.send(number, b"initial"))[0] == 200
             limited_from_s = asyncio.get_running_loop().time() + REACTION_S
             answers = await flood(
-                lambda number: fleet.ask(number % ENTRIES, b"more"), 2 * ENTRIES
+                lambda number: fleet.send(number % ENTRIES, b"more"), 2 * ENTRIES
             )
             assert max_in_window(target.arrivals, limited_from_s) <= allowed(PER_S)
             refused = [wait for status, wait in answers if status == 503]
@@ -72,11 +72,11 @@
             assert (await path.ask())[0] == 200
             limited_from_s = asyncio.get_running_loop().time() + REACTION_S
 
-            async def ask(number):
+            async def send(number):
                 status, _, headers = await path.ask(id=f"request-{number}")
                 return status, headers.get("Retry-After")
 
-            answers = await flood(ask, 6)
+            answers = await flood(send, 6)
             assert max_in_window(path.engine.arrivals, limited_from_s) <= allowed(PER_S)
             refused = [wait for status, wait in answers if status == 503]
             assert refused and all(float(wait) > 0 for wait in refused)
--- a/tests/test_cooldown.py
+++ b/tests/test_cooldown.py
@@ -24,7 +24,7 @@
     )
 
 
-async def send_repeatedly(ask, seconds):
+async def send_repeatedly(send, seconds):
     """Let several callers send in a loop for some time; return the responses."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + seconds
@@ -34,7 +34,7 @@
         number = 0
         while loop.time() < until_s:
             number += 1
-            answers.append(await ask(f"{caller}-{number}"))
+            answers.append(await send(f"{caller}-{number}"))
             await asyncio.sleep(PAUSE_S)
 
     await asyncio.gather(*(one(caller) for caller in range(CALLERS)))
@@ -50,12 +50,12 @@
             cooling.rest = str(COOLDOWN_S)
 
             async def requested():
-                await fleet.ask(0, b"initial")
+                await fleet.send(0, b"initial")
                 return cooling.turned_away
 
             await fleet.until(requested)
             answers = await send_repeatedly(
-                lambda name: fleet.ask(0, name.encode()), COOLDOWN_S - REACTION_S
+                lambda name: fleet.send(0, name.encode()), COOLDOWN_S - REACTION_S
             )
             assert in_cooldown(cooling.arrivals) <= MAX_IN_COOLDOWN
             assert {status for status, _ in answers} == {200}
@@ -70,7 +70,7 @@
                 target.arrivals.clear()
                 target.rest = str(COOLDOWN_S)
             answers = await send_repeatedly(
-                lambda name: fleet.ask(0, name.encode()), COOLDOWN_S / 2
+                lambda name: fleet.send(0, name.encode()), COOLDOWN_S / 2
             )
             assert all(
                 in_cooldown(target.arrivals) <= MAX_IN_COOLDOWN for target in targets
@@ -91,13 +91,13 @@
             rejecting.rest = ""
 
             async def rejected():
-                await fleet.ask(0, b"initial")
+                await fleet.send(0, b"initial")
                 return rejecting.turned_away >= 2
 
             await fleet.until(rejected)
             before = rejecting.turned_away
             answers = await send_repeatedly(
-                lambda name: fleet.ask(0, name.encode()), COOLDOWN_S
+                lambda name: fleet.send(0, name.encode()), COOLDOWN_S
             )
             limit = COOLDOWN_S / MAX_OPEN_S + CALLERS
             assert rejecting.turned_away - before <= limit < len(answers)
@@ -112,11 +112,11 @@
             path.engine.arrivals.clear()
             path.engine.rest = str(COOLDOWN_S)
 
-            async def ask(name):
+            async def send(name):
                 status, _, _ = await path.ask(id=f"request-{name}")
                 return status
 
-            answers = await send_repeatedly(ask, COOLDOWN_S)
+            answers = await send_repeatedly(send, COOLDOWN_S)
             assert in_cooldown(path.engine.arrivals) <= MAX_IN_COOLDOWN
             assert set(answers) == {503}
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -151,7 +151,7 @@
 
     def test_lost_connections_quarantine_nothing(self):
         broken = [FakeAnswer([b""], breaks=True) for _ in range(4)]
-        whole = FakeAnswer([events(1, 2)])
-        refusal, caller, client = serve(*broken, whole, attempts=5, targets=5)
+        complete = FakeAnswer([events(1, 2)])
+        refusal, caller, client = serve(*broken, complete, attempts=5, targets=5)
         assert refusal is None and caller.ended
         assert len(client.plans) == 5
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -33,7 +33,7 @@
         """
         statuses = []
         for number in range(times):
-            statuses.append((await self.ask(number % ENTRIES, CRASHING))[0])
+            statuses.append((await self.send(number % ENTRIES, CRASHING))[0])
             await asyncio.sleep(PAUSE_S)
             for target in self.targets:
                 if not target.is_up:
@@ -60,7 +60,7 @@
             runs = [len(target.runs) for target in fleet.targets]
             for number in range(ENTRIES):
                 # A retry does not help, so the response has no Retry-After.
-                assert await fleet.ask(number, CRASHING) == (503, None)
+                assert await fleet.send(number, CRASHING) == (503, None)
             assert [len(target.runs) for target in fleet.targets] == runs
 
         play(tmp_path, scenario)
@@ -70,7 +70,7 @@
             await fleet.send_repeatedly(2 * ENTRIES)
             for number in range(ENTRIES):
                 for body in (b"other body", b""):
-                    assert (await fleet.ask(number, body))[0] == 200
+                    assert (await fleet.send(number, body))[0] == 200
 
         play(tmp_path, scenario)
 
@@ -85,7 +85,7 @@
             async def neighbour(name):
                 statuses = []
                 while not done.is_set():
-                    status, _ = await fleet.ask(len(statuses) % ENTRIES, name)
+                    status, _ = await fleet.send(len(statuses) % ENTRIES, name)
                     statuses.append(status)
                 return statuses
 
@@ -97,7 +97,7 @@
                 assert 503 not in statuses[-3:]
             for number in range(ENTRIES):
                 for body in bodies:
-                    assert (await fleet.ask(number, body))[0] == 200
+                    assert (await fleet.send(number, body))[0] == 200
 
         play(tmp_path, scenario)
 
@@ -110,7 +110,7 @@
             await fleet.stop_service(fleet.entries[0])
             await fleet.start_entry(0)
             await fleet.until(lambda: fleet.serves(0))
-            assert (await fleet.ask(0, CRASHING))[0] == 503
+            assert (await fleet.send(0, CRASHING))[0] == 503
             assert fleet.crashed() == crashed
 
         play(tmp_path, scenario)
@@ -122,7 +122,7 @@
             await fleet.stop_service(fleet.control)
             # The retry budget limits how many targets one attempt may be sent to.
             for _ in range(MAX_CRASHED):
-                await fleet.ask(0, CRASHING)
+                await fleet.send(0, CRASHING)
             crashed = fleet.crashed()
             assert crashed >= MAX_CRASHED
             await fleet.start_control()
@@ -131,7 +131,7 @@
                 return bool(fleet.entries[1].crashes.suspects.quarantined())
 
             await fleet.until(received)
-            assert (await fleet.ask(1, CRASHING))[0] == 503
+            assert (await fleet.send(1, CRASHING))[0] == 503
             assert fleet.crashed() == crashed
 
         play(tmp_path, scenario)
@@ -145,7 +145,7 @@
             for number in range(ENTRIES):
                 await fleet.start_entry(number)
                 await fleet.until(lambda number=number: fleet.serves(number))
-                assert (await fleet.ask(number, CRASHING))[0] == 503
+                assert (await fleet.send(number, CRASHING))[0] == 503
             assert fleet.crashed() == crashed
 
         play(tmp_path, scenario)
--- a/tests/test_direct_dispatch.py
+++ b/tests/test_direct_dispatch.py
@@ -49,12 +49,12 @@
 class FakeAnswer:
     """A target's response: body parts, then the end or a broken connection."""
 
-    def __init__(self, parts=(b"whole",), status=200, breaks=False, **said):
+    def __init__(self, parts=(b"whole",), status=200, breaks=False, **options):
         self.status, self.headers, self.length = status, (), None
         self.chunks, self.breaks = parts, breaks
-        self.not_run = said.get("not_run", False)
-        self.other_instance = said.get("other_instance", False)
-        self.signals = said.get("signals", ResponseSignals())
+        self.not_run = options.get("not_run", False)
+        self.other_instance = options.get("other_instance", False)
+        self.signals = options.get("signals", ResponseSignals())
         self.closed = False
 
     async def parts(self):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -26,7 +26,7 @@
             leaving.arrivals.clear()
             leaving.leaving = True
             answers = await send_repeatedly(
-                lambda name: fleet.ask(0, name.encode()), DRAIN_S + 0.5
+                lambda name: fleet.send(0, name.encode()), DRAIN_S + 0.5
             )
             announced_s = leaving.arrivals[0]
             assert [
@@ -41,9 +41,9 @@
 
         async def scenario(fleet):
             target.leaving = True
-            assert (await fleet.ask(0, b"initial"))[0] == 200
+            assert (await fleet.send(0, b"initial"))[0] == 200
             sends = len(target.arrivals)
-            status, wait = await fleet.ask(0, b"more")
+            status, wait = await fleet.send(0, b"more")
             assert (status, len(target.arrivals)) == (503, sends)
             assert float(wait) > 0
 
@@ -54,10 +54,10 @@
     def test_sidecar_of_leaving_engine_grants_nothing(self, tmp_path):
         async def scenario(path):
             path.engine.leaving = True
-            places = path.sidecar.admission.slots
+            slots = path.sidecar.admission.slots
 
             async def closed():
-                return not places.open
+                return not slots.open
 
             await path.until(closed)
             # No response to a request has announced it yet; the sidecar denies.
@@ -90,10 +90,10 @@
 
         async def scenario(path):
             path.engine.leaving = True
-            places = path.sidecar.admission.slots
+            slots = path.sidecar.admission.slots
 
             async def closed():
-                return not places.open
+                return not slots.open
 
             await path.until(closed)
             path.engine.leaving = False
@@ -101,7 +101,7 @@
             path.engine.born += reports_incarnation
 
             async def is_open():
-                return places.open
+                return slots.open
 
             await path.until(is_open)
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -116,35 +116,35 @@
 
 class TestSlotsWithARate:
     def limited(self, per_s=2.0):
-        places = open_slots()
-        places.rate_limits.update("", per_s, 0.0)
-        return places
+        slots = open_slots()
+        slots.rate_limits.update("", per_s, 0.0)
+        return slots
 
     def test_request_beyond_it_is_denied_at_once_with_a_retry_time(self):
-        places = self.limited()
-        decision = places.request_slot(slot_request(1), 0.0)
+        slots = self.limited()
+        decision = slots.request_slot(slot_request(1), 0.0)
         assert decision.denied and decision.retry_ms == pytest.approx(500.0)
-        assert places.request_slot(slot_request(2), 500.0).granted
-        assert places.request_slot(slot_request(3), 500.0).denied
-        assert not places.queue
+        assert slots.request_slot(slot_request(2), 500.0).granted
+        assert slots.request_slot(slot_request(3), 500.0).denied
+        assert not slots.queue
 
     def test_queued_requests_are_denied_when_it_is_advertised(self):
-        places = open_slots()
+        slots = open_slots()
         for number in range(40):
-            places.request_slot(slot_request(number, tokens=1, wait_ms=5000.0), 0.0)
-        assert places.queue
-        waiting = len(places.queue)
-        places.rate_limits.update("", 1.0, 0.0)
-        decisions = list(places.advance(1.0))
+            slots.request_slot(slot_request(number, tokens=1, wait_ms=5000.0), 0.0)
+        assert slots.queue
+        waiting = len(slots.queue)
+        slots.rate_limits.update("", 1.0, 0.0)
+        decisions = list(slots.advance(1.0))
         assert len(decisions) == waiting
         assert all(decision.denied and decision.retry_ms > 0 for decision in decisions)
 
     def test_ends_when_it_is_withdrawn(self):
-        places = self.limited()
-        assert places.request_slot(slot_request(1), 0.0).denied
-        places.rate_limits.update("", None, 0.1)
-        assert places.request_slot(slot_request(2), 100.0).granted
-        assert places.request_slot(slot_request(3), 100.0).granted
+        slots = self.limited()
+        assert slots.request_slot(slot_request(1), 0.0).denied
+        slots.rate_limits.update("", None, 0.1)
+        assert slots.request_slot(slot_request(2), 100.0).granted
+        assert slots.request_slot(slot_request(3), 100.0).granted
 
 
 class TestSidecar:
@@ -187,10 +187,10 @@
     def __init__(self, decide=None):
         super().__init__("control")
         self.decide = decide
-        self.asked = []
+        self.queries = []
 
     async def request(self, message, timeout_s):
-        self.asked.append(message)
+        self.queries.append(message)
         if self.decide is None:
             raise WireError(ResultCode.LINK_TIMEOUT, "no reply")
         return Frame(1, 1, await self.decide(message))
@@ -212,34 +212,34 @@
 
 
 class TestRateOwner:
-    def holders(self, *names):
+    def owners(self, *names):
         """Return control instances that can all reach each other."""
-        holders = {}
+        owners = {}
         for own in names:
-            holders[own] = RateOwner(own, lambda own=own: links[own])
+            owners[own] = RateOwner(own, lambda own=own: links[own])
 
         def link_to(name):
             async def decide(message):
-                return await holders[name].answer(message, from_entry=False)
+                return await owners[name].answer(message, from_entry=False)
 
             return ControlLink(decide)
 
         links = {
             own: {name: link_to(name) for name in names if name != own} for own in names
         }
-        return holders, links
+        return owners, links
 
     def test_one_instance_decides_for_all(self):
         async def scenario(now):
-            holders, _ = self.holders("a", "b", "c")
+            owners, _ = self.owners("a", "b", "c")
             for number in range(60):
                 target = f"i-{number}/0"
                 query = PassageQuery(target, 1.0, 0)
-                for holder in holders.values():
-                    await holder.answer(query, from_entry=True)
-                held = [h for h in holders.values() if target in h.limits.limits]
+                for owner in owners.values():
+                    await owner.answer(query, from_entry=True)
+                held = [o for o in owners.values() if target in o.limits.limits]
                 assert len(held) == 1
-            assert all(holder.limits.limits for holder in holders.values())
+            assert all(owner.limits.limits for owner in owners.values())
 
         run_with_clock(scenario)
 
@@ -250,15 +250,15 @@
         passed = []
 
         async def scenario(now):
-            holders, _ = self.holders("a", "b", "c")
+            owners, _ = self.owners("a", "b", "c")
             rng = random.Random(entries)
             for _ in range(600):
                 now.s += 0.02
                 for entry in range(entries):
                     if rng.random() < 0.5:
-                        holder = holders["abc"[entry % 3]]
+                        owner = owners["abc"[entry % 3]]
                         query = PassageQuery(ONE, per_s, 0)
-                        answer = await holder.answer(query, from_entry=True)
+                        answer = await owner.answer(query, from_entry=True)
                         assert answer.granted or answer.wait_ms > 0
                         if answer.granted:
                             passed.append(now.s)
@@ -275,9 +275,9 @@
             partitioned = [RateOwner(name, dict) for name in "ab"]
             for _ in range(600):
                 now.s += 0.02
-                for holder in partitioned:
+                for owner in partitioned:
                     query = PassageQuery(ONE, per_s, 0)
-                    if (await holder.answer(query, from_entry=True)).granted:
+                    if (await owner.answer(query, from_entry=True)).granted:
                         passed.append(now.s)
 
         run_with_clock(scenario)
@@ -285,18 +285,18 @@
 
     def test_query_without_a_rate_is_permitted(self):
         async def scenario(now):
-            holder = RateOwner("a", dict)
+            owner = RateOwner("a", dict)
             for _ in range(20):
-                answer = await holder.answer(PassageQuery(ONE, 0.0, 0), True)
+                answer = await owner.answer(PassageQuery(ONE, 0.0, 0), True)
                 assert answer == Passage(True, 0, False)
 
         run_with_clock(scenario)
 
     def test_unreachable_owner_permits_nothing(self):
         async def scenario(now):
-            holder = RateOwner("a", lambda: {"b": ControlLink(), "c": ControlLink()})
+            owner = RateOwner("a", lambda: {"b": ControlLink(), "c": ControlLink()})
             answers = [
-                await holder.answer(PassageQuery(f"i-{n}/0", 1.0, 0), from_entry=True)
+                await owner.answer(PassageQuery(f"i-{n}/0", 1.0, 0), from_entry=True)
                 for n in range(20)
             ]
             assert Passage(False, 500, True) in answers
@@ -305,19 +305,19 @@
 
     def test_withdrawal_reaches_the_owner_and_then_the_others(self):
         async def scenario(now):
-            holders, links = self.holders("a", "b")
+            owners, links = self.owners("a", "b")
             query = PassageQuery(ONE, 1.0, 0)
-            assert not (await holders["a"].answer(query, from_entry=True)).granted
+            assert not (await owners["a"].answer(query, from_entry=True)).granted
             now.s += 1.0
             update = TargetRate(ONE, 0.0, 0)
-            for own, holder in holders.items():
-                holder.receive_rate(update, from_entry=True)
+            for own, owner in owners.items():
+                owner.receive_rate(update, from_entry=True)
                 for name, link in links[own].items():
                     for message in link.taken:
-                        holders[name].receive_rate(message, from_entry=False)
+                        owners[name].receive_rate(message, from_entry=False)
             now.s += 0.1
             late = PassageQuery(ONE, 1.0, 1100)
-            answer = await holders["b"].answer(late, from_entry=True)
+            answer = await owners["b"].answer(late, from_entry=True)
             assert answer == Passage(True, 0, False)
 
         run_with_clock(scenario)
@@ -330,7 +330,7 @@
 
 
 class TestRatePermitClient:
-    def ask(self, answers, times_s):
+    def request_permits(self, answers, times_s):
         """Request permits at given times; return waits, queries and the target."""
 
         async def run():
@@ -343,7 +343,7 @@
             permits = RatePermitClient(lambda: [link])
             target = limited_target()
             waits_s = [await permits.wait_s(target, now_s) for now_s in times_s]
-            return waits_s, link.asked, target
+            return waits_s, link.queries, target
 
         return asyncio.run(run())
 
@@ -356,19 +356,21 @@
 
     def test_no_permit_is_requested_while_the_target_is_at_its_limit(self):
         answers = [Passage(False, 400, True), Passage(True, 0, True)]
-        waits_s, asked, _ = self.ask(answers, [1.0, 1.1, 1.3, 1.5])
+        waits_s, queries, _ = self.request_permits(answers, [1.0, 1.1, 1.3, 1.5])
         assert waits_s == pytest.approx([0.4, 0.3, 0.1, 0.0])
-        assert asked == [PassageQuery(ONE, 2.0, 1000), PassageQuery(ONE, 2.0, 1500)]
+        assert queries == [PassageQuery(ONE, 2.0, 1000), PassageQuery(ONE, 2.0, 1500)]
 
     def test_withdrawal_seen_by_others_is_adopted(self):
-        waits_s, asked, target = self.ask([Passage(True, 0, False)], [1.0, 1.1])
-        assert waits_s == [0.0, 0.0] and len(asked) == 1
+        waits_s, queries, target = self.request_permits(
+            [Passage(True, 0, False)], [1.0, 1.1]
+        )
+        assert waits_s == [0.0, 0.0] and len(queries) == 1
         assert target.rate.per_s is None
 
     def test_disconnected_entry_permits_a_fraction(self):
         """All entries are partitioned from all control instances."""
         times_s = [step * 0.02 for step in range(1, 3000)]
-        waits_s, _, _ = self.ask([], times_s)
+        waits_s, _, _ = self.request_permits([], times_s)
         passed = sum(wait_s == 0 for wait_s in waits_s)
         assert 2 <= passed <= 2.0 * 60 / 20
         assert all(wait_s >= 0 for wait_s in waits_s)
