--- a/tests/test_advertised_limit.py
+++ b/tests/test_advertised_limit.py
@@ -52,7 +52,7 @@
         async def scenario(fleet):
             target.rate = str(PER_S)
             for number in range(ENTRIES):
-                assert (await fleet.send(number, b"initial"))[0] == 200
+                assert (await fleet.send(number, b"told"))[0] == 200
             limited_from_s = asyncio.get_running_loop().time() + REACTION_S
             answers = await flood(
                 lambda number: fleet.send(number % ENTRIES, b"more"), 2 * ENTRIES
--- a/tests/test_cooldown.py
+++ b/tests/test_cooldown.py
@@ -50,7 +50,7 @@
             cooling.rest = str(COOLDOWN_S)
 
             async def requested():
-                await fleet.send(0, b"initial")
+                await fleet.send(0, b"told")
                 return cooling.turned_away
 
             await fleet.until(requested)
@@ -91,7 +91,7 @@
             rejecting.rest = ""
 
             async def rejected():
-                await fleet.send(0, b"initial")
+                await fleet.send(0, b"told")
                 return rejecting.turned_away >= 2
 
             await fleet.until(rejected)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -41,7 +41,7 @@
 
         async def scenario(fleet):
             target.leaving = True
-            assert (await fleet.send(0, b"initial"))[0] == 200
+            assert (await fleet.send(0, b"told"))[0] == 200
             sends = len(target.arrivals)
             status, wait = await fleet.send(0, b"more")
             assert (status, len(target.arrivals)) == (503, sends)
