--- a/specs/cluster.py
+++ b/specs/cluster.py
@@ -197,14 +197,14 @@
         replica.flush_if_pending()
         self.check_lead(node)
         ready = replica.ready()
-        self.post(node, ready.early)
+        self.post(node, ready.early_messages)
         return ready
 
     def finish(self, node: Node, ready) -> None:
         """Sync, send the rest, apply."""
         self.sync(node, ready)
         node.replica.synced(ready)
-        self.post(node, ready.messages)
+        self.post(node, ready.late_messages)
         self.apply(node)
 
     def apply(self, node: Node) -> None:
--- a/specs/mutants.py
+++ b/specs/mutants.py
@@ -18,43 +18,43 @@
 class VotesTwice(Replica):
     """Votes for whoever asks, also a second time in a term."""
 
-    def answer_vote(self, message: VoteRequest) -> None:
+    def handle_vote_request(self, message: VoteRequest) -> None:
         """Forget the vote first."""
         self.voted_for = ""
-        super().answer_vote(message)
+        super().handle_vote_request(message)
 
 
 class VotesForShortLog(Replica):
     """Votes for a candidate that lacks records."""
 
-    def answer_vote(self, message: VoteRequest) -> None:
+    def handle_vote_request(self, message: VoteRequest) -> None:
         """Take the candidate's log for the longest."""
-        super().answer_vote(message._replace(last_term=1 << 40))
+        super().handle_vote_request(message._replace(last_term=1 << 40))
 
 
 class AppendsUnchecked(Replica):
     """Takes records in without checking what stands before them."""
 
-    def answer_append(self, message) -> None:
+    def handle_append_request(self, message) -> None:
         """Pretend that the previous record matches."""
         previous = min(message.previous_index, self.last_index)
         if previous >= self.log.base_index:
             term = self.log.term_at(previous)
             message = message._replace(previous_term=term)
-        super().answer_append(message)
+        super().handle_append_request(message)
 
 
 class CountsUnsynced(Replica):
     """Counts the leader's own records before its disk holds them."""
 
-    def match_of(self, node_id: str) -> int:
+    def match_index_of(self, node_id: str) -> int:
         """Take the last record for a synced one."""
         own = node_id == self.node_id
-        return self.last_index if own else super().match_of(node_id)
+        return self.last_index if own else super().match_index_of(node_id)
 
-    def take_append_reply(self, message) -> None:
+    def handle_append_reply(self, message) -> None:
         """Commit at once, and acknowledge before the own sync."""
-        super().take_append_reply(message)
+        super().handle_append_reply(message)
         self.synced_index = self.last_index
 
 
@@ -64,14 +64,14 @@
     def ready(self):
         """Let every message leave early."""
         ready = super().ready()
-        early = ready.early + ready.messages
-        return ready._replace(early=early, messages=())
+        early = ready.early_messages + ready.late_messages
+        return ready._replace(early_messages=early, late_messages=())
 
 
 class PromotesEmpty(Replica):
     """Gives a learner its vote before it holds the log."""
 
-    def holds_committed(self, node_id: str, identity: str) -> bool:
+    def has_all_committed_records(self, node_id: str, identity: str) -> bool:
         """Ask for nothing."""
         return True
 
@@ -85,7 +85,7 @@
 
     def change_members(self, members):
         """Take no heed of who answers."""
-        self.answers = lambda node_id: True
+        self.is_responsive = lambda node_id: True
         return super().change_members(members)
 
 
@@ -94,7 +94,7 @@
 
     def __init__(self, *arguments, **options):
         super().__init__(*arguments, **options)
-        self.heard_ms = float("-inf")
+        self.leader_contact_ms = float("-inf")
 
 
 class IgnoresClock(Replica):
@@ -115,10 +115,10 @@
 
     asked = False
 
-    def hand_over(self) -> bool:
+    def transfer_leadership(self) -> bool:
         """Hand over without stepping down."""
         self.asked = True
-        done = super().hand_over()
+        done = super().transfer_leadership()
         self.asked = False
         return done
 
--- a/specs/replica_machine.py
+++ b/specs/replica_machine.py
@@ -196,7 +196,7 @@
             replica = node.replica
             replica.now_ms = self.cluster.clock(node)
             idle = replica.role.state in ("follower", "candidate")
-            if node.node_id in candidates and idle and not replica.hears_leader():
+            if node.node_id in candidates and idle and not replica.has_recent_leader():
                 replica.campaign(pre_vote=False)
 
     @rule(cuts=st.booleans(), duration_ms=durations)
@@ -206,7 +206,7 @@
         cluster.run(100, rng, 0)
         leaders = cluster.leaders()
         for node in leaders:
-            node.replica.hand_over()
+            node.replica.transfer_leadership()
         cluster.deliver(rng, 0)
         if cuts:
             cluster.cut = {node.node_id for node in leaders}
--- a/src/wisteriapulley/catalogue/catalogue.py
+++ b/src/wisteriapulley/catalogue/catalogue.py
@@ -10,9 +10,9 @@
     Delete,
     Put,
     Stored,
-    change_faults,
+    change_errors,
 )
-from wisteriapulley.catalogue.entry import Entry, entry_faults, service_faults
+from wisteriapulley.catalogue.entry import Entry, entry_errors, service_errors
 from wisteriapulley.errors import CatalogueError, ResultCode
 
 # Load: 640 changes a day; these hold the resends and history of three days, in
@@ -88,15 +88,15 @@
         """
         earlier = self.history.get(change.change_id)
         if earlier is not None:
-            return self.resend(change, earlier)
+            return self.resend_result(change, earlier)
         try:
             self.check_change(change)
-            entries = self.candidate(change)
+            entries = self.candidate_entries(change)
         except CatalogueError as error:
             return self.refusal(error, change)
         return self.accept(change, entries)
 
-    def resend(self, change: Change, earlier: ChangeRecord) -> ChangeResult:
+    def resend_result(self, change: Change, earlier: ChangeRecord) -> ChangeResult:
         """Answer a change id that was used before."""
         if earlier.digest == change.digest():
             return ChangeResult(ResultCode.OK, earlier.revision)
@@ -117,7 +117,7 @@
         CatalogueError
             CATALOGUE_ENTRY_INVALID, NOT_OWNER or REVISION_CONFLICT.
         """
-        for fault in change_faults(change):
+        for fault in change_errors(change):
             raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, fault)
         for item in (*change.puts, *change.deletes):
             self.check_base(item, change.owner)
@@ -138,7 +138,7 @@
                 f" {current}",
             )
 
-    def candidate(self, change: Change) -> dict[str, Stored]:
+    def candidate_entries(self, change: Change) -> dict[str, Stored]:
         """Build and check the entries as the change would leave them."""
         entries = dict(self.entries)
         for delete in change.deletes:
@@ -149,12 +149,12 @@
                     ResultCode.NOT_OWNER,
                     f"{put.name}: owner is {put.entry.owner!r}, not {change.owner!r}",
                 )
-            for fault in entry_faults(put.entry):
+            for fault in entry_errors(put.entry):
                 raise CatalogueError(
                     ResultCode.CATALOGUE_ENTRY_INVALID, f"{put.name}: {fault}"
                 )
             entries[put.name] = Stored(put.entry, self.revision + 1)
-        for fault in service_faults(stored.entry for stored in entries.values()):
+        for fault in service_errors(stored.entry for stored in entries.values()):
             raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, fault)
         return entries
 
--- a/src/wisteriapulley/catalogue/changes.py
+++ b/src/wisteriapulley/catalogue/changes.py
@@ -90,7 +90,7 @@
     revision: int
 
 
-def change_faults(change: Change) -> Iterator[str]:
+def change_errors(change: Change) -> Iterator[str]:
     """Yield what is wrong with the form of a change."""
     if not CHANGE_ID_PATTERN.fullmatch(change.change_id):
         yield (
@@ -110,7 +110,7 @@
 
 
 def diff(
-    wanted: dict[str, Entry], stored: dict[str, Stored], owner: str
+    desired: dict[str, Entry], stored: dict[str, Stored], owner: str
 ) -> tuple[tuple[Put, ...], tuple[Delete, ...]]:
     """Compare files with what is accepted.
 
@@ -130,43 +130,43 @@
     """
     puts = tuple(
         Put(entry, stored[name].revision if name in stored else 0)
-        for name, entry in wanted.items()
+        for name, entry in desired.items()
         if name not in stored or stored[name].entry != entry
     )
     deletes = tuple(
         Delete(name, item.revision)
         for name, item in stored.items()
-        if name not in wanted and item.entry.owner == owner
+        if name not in desired and item.entry.owner == owner
     )
     return puts, deletes
 
 
-def show_changes(
+def format_changes(
     puts: tuple[Put, ...], deletes: tuple[Delete, ...], stored: dict[str, Stored]
 ) -> Iterator[str]:
     """Yield readable lines: ``+`` new, ``-`` gone, ``~`` changed, key by key."""
     for put in puts:
         if put.name in stored:
             yield f"~ {put.name}"
-            yield from show_keys(stored[put.name].entry, put.entry)
+            yield from format_keys(stored[put.name].entry, put.entry)
         else:
             yield f"+ {put.name}"
-            yield from show_keys(None, put.entry)
+            yield from format_keys(None, put.entry)
     for delete in deletes:
         yield f"- {delete.name}"
 
 
-def show_keys(before: Entry | None, after: Entry) -> Iterator[str]:
+def format_keys(before: Entry | None, after: Entry) -> Iterator[str]:
     """Yield a line for each key that differs."""
-    old = dict(flat_keys(before)) if before is not None else {}
-    for key, value in flat_keys(after):
+    old = dict(flatten_keys(before)) if before is not None else {}
+    for key, value in flatten_keys(after):
         if before is None:
             yield f"    {key}: {value}"
         elif old[key] != value:
             yield f"    {key}: {old[key]} -> {value}"
 
 
-def flat_keys(entry: Entry) -> Iterator[tuple[str, str]]:
+def flatten_keys(entry: Entry) -> Iterator[tuple[str, str]]:
     """Yield each key of an entry, as in its file, with its value as JSON."""
     for key, value in msgspec.to_builtins(entry).items():
         if isinstance(value, dict):
--- a/src/wisteriapulley/catalogue/entry.py
+++ b/src/wisteriapulley/catalogue/entry.py
@@ -97,7 +97,7 @@
 
 # What entries of one service must share, because its targets have one of each.
 # The owner too: another's entry could otherwise stop the service's versions.
-SERVICE_KEYS = (
+SHARED_SERVICE_KEYS = (
     "owner",
     "version",
     "role",
@@ -107,15 +107,15 @@
 )
 
 
-def entry_faults(entry: Entry) -> Iterator[str]:
+def entry_errors(entry: Entry) -> Iterator[str]:
     """Yield what is wrong with one entry, as ``key: expected, got``."""
-    yield from name_faults(entry)
-    yield from weights_faults(entry)
-    yield from limit_faults(entry)
-    yield from leaving_faults(entry)
+    yield from name_errors(entry)
+    yield from weights_errors(entry)
+    yield from limit_errors(entry)
+    yield from leaving_errors(entry)
 
 
-def name_faults(entry: Entry) -> Iterator[str]:
+def name_errors(entry: Entry) -> Iterator[str]:
     """Yield what is wrong with the names that an entry bears."""
     for key in ("name", "owner", "traffic_class", "service"):
         if not NAME_PATTERN.fullmatch(getattr(entry, key)):
@@ -125,7 +125,7 @@
             )
 
 
-def weights_faults(entry: Entry) -> Iterator[str]:
+def weights_errors(entry: Entry) -> Iterator[str]:
     """Yield what is wrong with version, role and distribution."""
     if entry.version and not DIGEST_PATTERN.fullmatch(entry.version):
         yield (
@@ -145,7 +145,7 @@
         )
 
 
-def limit_faults(entry: Entry) -> Iterator[str]:
+def limit_errors(entry: Entry) -> Iterator[str]:
     """Yield which numbers are out of range."""
     if not 1 <= entry.max_unavailable <= MAX_LEAVING:
         yield (
@@ -159,7 +159,7 @@
             yield f"limits.{key}: expected {least} to {most}, got {value}"
 
 
-def leaving_faults(entry: Entry) -> Iterator[str]:
+def leaving_errors(entry: Entry) -> Iterator[str]:
     """Yield what is wrong with the list of leaving targets."""
     if len(entry.leaving) > MAX_LEAVING:
         yield f"leaving: expected at most {MAX_LEAVING}, got {len(entry.leaving)}"
@@ -172,12 +172,12 @@
         seen.add(node_id)
 
 
-def service_faults(entries: Iterable[Entry]) -> Iterator[str]:
+def service_errors(entries: Iterable[Entry]) -> Iterator[str]:
     """Yield where entries of one service disagree."""
     first: dict[str, Entry] = {}
     for entry in entries:
         other = first.setdefault(entry.service, entry)
-        for key in SERVICE_KEYS:
+        for key in SHARED_SERVICE_KEYS:
             if getattr(other, key) != getattr(entry, key):
                 yield (
                     f"{entry.name}: {key}: expected {getattr(other, key)!r} as in"
@@ -196,9 +196,9 @@
     """
     entries = tuple(entries)
     faults = [
-        f"{entry.name}: {fault}" for entry in entries for fault in entry_faults(entry)
+        f"{entry.name}: {fault}" for entry in entries for fault in entry_errors(entry)
     ]
-    faults += service_faults(entries)
+    faults += service_errors(entries)
     if faults:
         raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, faults[0])
 
@@ -226,7 +226,7 @@
         raise CatalogueError(
             ResultCode.CATALOGUE_FILE_UNREADABLE, f"{path}: expected JSON: {error}"
         ) from error
-    faults = list(entry_faults(entry))
+    faults = list(entry_errors(entry))
     if faults:
         raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, f"{path}: {faults[0]}")
     return entry
--- a/src/wisteriapulley/catalogue_commands.py
+++ b/src/wisteriapulley/catalogue_commands.py
@@ -56,10 +56,10 @@
 
     def __call__(self) -> int:
         """Print a line each change; exit 3 when there is one."""
-        from wisteriapulley.operator_client import OperatorClient, show_diff
+        from wisteriapulley.operator_client import OperatorClient, format_diff
 
         client = OperatorClient.from_files(self.control, self.token_file, self.owner)
-        lines = list(show_diff(client, self.folder))
+        lines = list(format_diff(client, self.folder))
         print("\n".join(lines) if lines else "no difference")
         return EXIT_DIFFERS if lines else EXIT_OK
 
@@ -108,7 +108,7 @@
 
     def __call__(self) -> int:
         """Print it."""
-        return show("/v1/catalogue", self.control, self.token_file)
+        return print_response("/v1/catalogue", self.control, self.token_file)
 
 
 @cappa.command(name="history", help="Print the accepted changes as JSON.")
@@ -121,7 +121,7 @@
 
     def __call__(self) -> int:
         """Print them."""
-        return show("/v1/catalogue/history", self.control, self.token_file)
+        return print_response("/v1/catalogue/history", self.control, self.token_file)
 
 
 @cappa.command(name="status", help="Show what is in force by failure domain.")
@@ -142,7 +142,7 @@
         return EXIT_OK
 
 
-def show(path: str, control: str, token_file: str) -> int:
+def print_response(path: str, control: str, token_file: str) -> int:
     """Print what an operators' page answers."""
     from wisteriapulley.operator_client import OperatorClient
 
--- a/src/wisteriapulley/catalogue_status.py
+++ b/src/wisteriapulley/catalogue_status.py
@@ -8,8 +8,8 @@
 from wisteriapulley.errors import CatalogueError, ResultCode
 from wisteriapulley.operator_client import OperatorClient
 
-POLL_S = 0.2
-OPEN = "open"
+POLL_INTERVAL_S = 0.2
+OPEN_STATE = "open"
 MIB = 1 << 20
 
 
@@ -41,7 +41,9 @@
     remaining_s: float
 
 
-def by_domain(status: Status, revision: int | None = None) -> Iterator[DomainStatus]:
+def status_by_domain(
+    status: Status, revision: int | None = None
+) -> Iterator[DomainStatus]:
     """Yield each failure domain's status, in name order.
 
     Parameters
@@ -55,14 +57,16 @@
     rows = [row for row in status.nodes if not row.leaving]
     for name in sorted({row.failure_domain for row in rows}):
         own = [row for row in rows if row.failure_domain == name]
-        yield domain_status(name, own, wanted)
+        yield summarize_domain(name, own, wanted)
 
 
-def domain_status(name: str, rows: list[StatusRow], wanted: int) -> DomainStatus:
+def summarize_domain(name: str, rows: list[StatusRow], wanted: int) -> DomainStatus:
     """Sum up the rows of one failure domain."""
     replicas = [row for row in rows if row.desired]
-    serving = [row for row in replicas if serves(row)]
-    copying = [row for row in replicas if not serves(row) and row.bytes_total]
+    serving = [row for row in replicas if serves_desired_version(row)]
+    copying = [
+        row for row in replicas if not serves_desired_version(row) and row.bytes_total
+    ]
     return DomainStatus(
         name,
         min(row.revision for row in rows),
@@ -76,9 +80,9 @@
     )
 
 
-def serves(row: StatusRow) -> bool:
+def serves_desired_version(row: StatusRow) -> bool:
     """Tell whether a target serves what it should."""
-    return row.state == OPEN and row.version == row.desired
+    return row.state == OPEN_STATE and row.version == row.desired
 
 
 def status_table(status: Status) -> Iterator[str]:
@@ -88,13 +92,13 @@
         f"{'failure domain':<16}{'in force':>9}{'nodes':>10}{'replicas':>10}"
         f"{'MiB copied':>18}  time left"
     )
-    for domain in by_domain(status):
+    for domain in status_by_domain(status):
         yield (
             f"{domain.name:<16}{domain.revision:>9}"
             f"{f'{domain.current}/{domain.nodes}':>10}"
             f"{f'{domain.serving}/{domain.replicas}':>10}"
             f"{f'{domain.bytes_done // MIB}/{domain.bytes_total // MIB}':>18}"
-            f"  {time_left(domain)}"
+            f"  {format_time_left(domain)}"
         )
     yield ""
     yield f"{'node':<24}{'domain':<12}{'rev':>6}  {'state':<10}{'version':<14}copied"
@@ -115,7 +119,7 @@
         yield f"    {row.detail}"
 
 
-def time_left(domain: DomainStatus) -> str:
+def format_time_left(domain: DomainStatus) -> str:
     """Format the estimated time to the last replica's copy."""
     if domain.serving == domain.replicas:
         return "done"
@@ -147,26 +151,28 @@
         tasks: dict[str, int] = {}
         while True:
             status = client.status()
-            domains = list(by_domain(status, revision))
-            show_domains(progress, tasks, domains)
+            domains = list(status_by_domain(status, revision))
+            update_progress(progress, tasks, domains)
             if domains and all(d.current == d.nodes for d in domains):
                 return
             if time.monotonic() >= deadline:
                 break
-            time.sleep(POLL_S)
-    behind = ", ".join(behind_names(status.nodes, revision)) or "no node is known"
+            time.sleep(POLL_INTERVAL_S)
+    behind = ", ".join(lagging_node_ids(status.nodes, revision)) or "no node is known"
     raise CatalogueError(
         ResultCode.STILL_PROPAGATING,
         f"revision {revision} is accepted but not in force at: {behind}",
     )
 
 
-def behind_names(rows: Iterable[StatusRow], revision: int) -> list[str]:
+def lagging_node_ids(rows: Iterable[StatusRow], revision: int) -> list[str]:
     """Return the nodes that lack a revision."""
     return [r.node_id for r in rows if r.revision < revision and not r.leaving]
 
 
-def show_domains(progress, tasks: dict[str, int], domains: list[DomainStatus]) -> None:
+def update_progress(
+    progress, tasks: dict[str, int], domains: list[DomainStatus]
+) -> None:
     """Bring the progress display up to date."""
     for domain in domains:
         if domain.name not in tasks:
--- a/src/wisteriapulley/consensus/base.py
+++ b/src/wisteriapulley/consensus/base.py
@@ -21,11 +21,11 @@
 NEVER_MS = float("-inf")
 # Of an election timeout, the least that a replica waits after its start: time for
 # its links to open.
-FIRST_ELECTION_SHARE = 0.15
+FIRST_PRE_VOTE_DELAY_FRACTION = 0.15
 # The same for votes in force, which wait for a sync of each voter's disk.
-FIRST_VOTE_SHARE = 0.5
+FIRST_VOTE_DELAY_FRACTION = 0.5
 # Of an election timeout, over which those that start together spread.
-FIRST_SPREAD_SHARE = 0.3
+FIRST_ELECTION_JITTER_FRACTION = 0.3
 
 
 class Progress:
@@ -59,7 +59,7 @@
         self.snapshot_total = 0
         self.part_sent_ms = NEVER_MS
 
-    def matched(self, index: int) -> None:
+    def record_match(self, index: int) -> None:
         """Note that the log matches up to `index`."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
@@ -101,7 +101,7 @@
 
     Attributes
     ----------
-    voters_wanted : int
+    desired_voters : int
         How many disks vote; further ones learn, and take the place of a voter
         that falls silent. 0 lets every disk vote.
     """
@@ -122,9 +122,9 @@
     ):
         self.node_id = node_id
         self.identity = identity
-        self.saved = hard_state or HardState()
-        self.term = self.saved.term
-        self.voted_for = self.saved.voted_for
+        self.saved_hard_state = hard_state or HardState()
+        self.term = self.saved_hard_state.term
+        self.voted_for = self.saved_hard_state.voted_for
         self.log = log if log is not None else Log()
         self.snapshot = snapshot
         self.timing = timing or Timing()
@@ -140,18 +140,18 @@
         self.pre_voting = False
         self.progress: dict[str, Progress] = {}
         self.round = 0
-        self.round_sent: dict[int, float] = {}
-        self.confirmed_ms = NEVER_MS
-        self.next_beat_ms = 0.0
+        self.round_sent_ms: dict[int, float] = {}
+        self.quorum_contact_ms = NEVER_MS
+        self.next_heartbeat_ms = 0.0
         self.elected_ms = 0.0
         self.term_start = 0
-        self.handing_over = False
-        self.joining: dict[str, str] = {}
-        self.voters_wanted = 0
-        self.incoming: tuple[int, int, int] = (0, 0, 0)
-        self.received = bytearray()
-        self.installed: Snapshot | None = None
-        self.unsaved: list[Record] = []
+        self.transferring_leadership = False
+        self.join_requests: dict[str, str] = {}
+        self.desired_voters = 0
+        self.incoming_snapshot: tuple[int, int, int] = (0, 0, 0)
+        self.snapshot_buffer = bytearray()
+        self.installed_snapshot: Snapshot | None = None
+        self.unsaved_records: list[Record] = []
         self.outbox: list[tuple[str, tuple]] = []
         base = snapshot.members if snapshot is not None else members
         self.configurations: list[tuple[int, Members]] = [(start, base)]
@@ -161,12 +161,12 @@
         # a lease on this replica's word, given at the latest when the process
         # started: it counts as heard then.
         started_ms = now_ms if started_ms is None else started_ms
-        self.heard_ms = started_ms if self.term else NEVER_MS
-        self.met_leader = False
+        self.leader_contact_ms = started_ms if self.term else NEVER_MS
+        self.has_seen_leader = False
         self.election_at_ms = 0.0
-        self.reset_election()
+        self.reset_election_timeout()
         if self.term or started_ms < now_ms:
-            self.hasten_election()
+            self.schedule_early_election()
         self.refresh_role()
 
     # -- what others read ------------------------------------------------
@@ -203,7 +203,7 @@
 
     # -- shared by the parts ---------------------------------------------
 
-    def reset_election(self) -> None:
+    def reset_election_timeout(self) -> None:
         """Start a new random election timeout."""
         if self.is_voter and len(self.members.voters) == 1:
             # Nobody else can lead, so there is nobody to wait for.
@@ -212,7 +212,9 @@
         spread = 1 + self.rng.random()
         self.election_at_ms = self.now_ms + self.timing.election_ms * spread
 
-    def hasten_election(self, least_share: float = FIRST_ELECTION_SHARE) -> None:
+    def schedule_early_election(
+        self, delay_fraction: float = FIRST_PRE_VOTE_DELAY_FRACTION
+    ) -> None:
         """Ask for votes soon after a start, long before a whole timeout.
 
         After a loss of all instances nobody leads, and a whole timeout would pass
@@ -221,9 +223,11 @@
         Where somebody leads, a request for a pre-vote is refused and changes
         nothing.
         """
-        first_ms = self.now_ms + self.timing.election_ms * least_share
-        free_ms = self.heard_ms + self.timing.election_ms
-        spread_ms = self.timing.election_ms * FIRST_SPREAD_SHARE * self.rng.random()
+        first_ms = self.now_ms + self.timing.election_ms * delay_fraction
+        free_ms = self.leader_contact_ms + self.timing.election_ms
+        spread_ms = (
+            self.timing.election_ms * FIRST_ELECTION_JITTER_FRACTION * self.rng.random()
+        )
         self.election_at_ms = min(
             self.election_at_ms, max(first_ms, free_ms) + spread_ms
         )
@@ -250,8 +254,8 @@
             self.role.fire("step_down")
         self.leader = ""
         self.pre_voting = False
-        self.handing_over = False
-        self.reset_election()
+        self.transferring_leadership = False
+        self.reset_election_timeout()
         self.refresh_role()
 
     def store(self, record: Record) -> None:
@@ -275,7 +279,7 @@
             self.configurations[-1][0] >= record.index
         ):
             del self.configurations[-1]
-        self.unsaved.append(record)
+        self.unsaved_records.append(record)
         self.adopt_members(record)
         self.refresh_role()
 
@@ -285,9 +289,9 @@
             members = msgspec.msgpack.decode(record.data, type=Members)
             self.configurations.append((record.index, members))
 
-    def others(self) -> list[str]:
+    def peer_ids(self) -> list[str]:
         """Return every node id that a leader sends to."""
-        return [node for node in self.members.everyone() if node != self.node_id]
+        return [node for node in self.members.node_ids() if node != self.node_id]
 
     def other_voters(self) -> list[str]:
         """Return every other voter."""
@@ -298,6 +302,6 @@
         self.outbox.append((node_id, message))
 
 
-def may_leave_early(message: tuple) -> bool:
+def can_send_before_sync(message: tuple) -> bool:
     """Tell whether a message acknowledges nothing, so needs no sync before."""
     return isinstance(message, AppendRequest | SnapshotPart)
--- a/src/wisteriapulley/consensus/election.py
+++ b/src/wisteriapulley/consensus/election.py
@@ -1,8 +1,8 @@
 """Elections: pre-vote, votes by disk identity, leases and handing over."""
 
 from wisteriapulley.consensus.base import (
-    FIRST_ELECTION_SHARE,
-    FIRST_VOTE_SHARE,
+    FIRST_PRE_VOTE_DELAY_FRACTION,
+    FIRST_VOTE_DELAY_FRACTION,
     NEVER_MS,
     Progress,
     ReplicaBase,
@@ -22,19 +22,19 @@
         than `lease_ms`, so nobody else leads before it ends. `now_ms` is read
         by the caller at the moment of use: after a freeze it shows the lapse.
         """
-        if not self.is_leader or self.handing_over:
+        if not self.is_leader or self.transferring_leadership:
             return 0.0
         if self.commit_index < self.term_start:
             return 0.0
         if len(self.members.voters) == 1 and self.is_voter:
             return float(self.timing.lease_ms)
-        return max(0.0, self.confirmed_ms + self.timing.lease_ms - now_ms)
+        return max(0.0, self.quorum_contact_ms + self.timing.lease_ms - now_ms)
 
-    def hears_leader(self) -> bool:
+    def has_recent_leader(self) -> bool:
         """Tell whether a leader spoke within the shortest election timeout."""
         if self.is_leader:
             return True
-        return self.now_ms - self.heard_ms < self.timing.election_ms
+        return self.now_ms - self.leader_contact_ms < self.timing.election_ms
 
     def adopt_term(self, term: int) -> None:
         """Follow a higher term."""
@@ -44,14 +44,16 @@
 
     def campaign(self, pre_vote: bool, transfer: bool = False) -> None:
         """Ask for votes; first whether they would be given."""
-        self.reset_election()
+        self.reset_election_timeout()
         if not self.is_voter:
             return
-        if not self.met_leader:
+        if not self.has_seen_leader:
             # One that started later refuses until its own wait is over, and two
             # that ask at the same moment share the votes.
-            share = FIRST_ELECTION_SHARE if pre_vote else FIRST_VOTE_SHARE
-            self.hasten_election(share)
+            share = (
+                FIRST_PRE_VOTE_DELAY_FRACTION if pre_vote else FIRST_VOTE_DELAY_FRACTION
+            )
+            self.schedule_early_election(share)
         self.role.fire("campaign")
         self.leader = ""
         self.pre_voting = pre_vote
@@ -74,26 +76,26 @@
 
     def count_votes(self) -> None:
         """Move on when a majority agreed."""
-        if len(self.votes) < self.members.quorum():
+        if len(self.votes) < self.members.quorum_size():
             return
         if self.pre_voting:
             self.campaign(pre_vote=False)
         else:
-            self.lead()
+            self.become_leader()
 
-    def lead(self) -> None:
+    def become_leader(self) -> None:
         """Take the lead: open the term with an empty record."""
         self.role.fire("win")
         self.leader = self.node_id
-        self.met_leader = True
+        self.has_seen_leader = True
         self.progress = {
-            node_id: Progress(self.last_index + 1) for node_id in self.others()
+            node_id: Progress(self.last_index + 1) for node_id in self.peer_ids()
         }
-        self.round_sent = {}
-        self.confirmed_ms = NEVER_MS
+        self.round_sent_ms = {}
+        self.quorum_contact_ms = NEVER_MS
         self.elected_ms = self.now_ms
-        self.handing_over = False
-        self.joining = {}
+        self.transferring_leadership = False
+        self.join_requests = {}
         self.term_start = self.last_index + 1
         self.append(RecordKind.EMPTY, b"")
         self.broadcast()
@@ -102,20 +104,20 @@
         """Step down when a majority has been silent for an election timeout."""
         if len(self.members.voters) == 1 and self.is_voter:
             return
-        last = max(self.confirmed_ms, self.elected_ms)
+        last = max(self.quorum_contact_ms, self.elected_ms)
         if self.now_ms - last > self.timing.election_ms:
             self.step_down()
 
-    def confirm_round(self) -> None:
+    def update_quorum_contact(self) -> None:
         """Renew the lease from the newest round that a majority answered."""
-        rounds = sorted(map(self.round_of, self.other_voters()), reverse=True)
-        needed = self.members.quorum() - 1
+        rounds = sorted(map(self.acked_round_of, self.other_voters()), reverse=True)
+        needed = self.members.quorum_size() - 1
         if len(rounds) >= needed > 0:
-            sent = self.round_sent.get(rounds[needed - 1])
+            sent = self.round_sent_ms.get(rounds[needed - 1])
             if sent is not None:
-                self.confirmed_ms = max(self.confirmed_ms, sent)
+                self.quorum_contact_ms = max(self.quorum_contact_ms, sent)
 
-    def round_of(self, node_id: str) -> int:
+    def acked_round_of(self, node_id: str) -> int:
         """Return the newest round that a voter's own disk answered."""
         progress = self.progress.get(node_id)
         if progress is None or progress.identity != self.members.voters[node_id]:
@@ -124,7 +126,7 @@
 
     # -- handing over ----------------------------------------------------
 
-    def hand_over(self) -> bool:
+    def transfer_leadership(self) -> bool:
         """Ask the voter that holds the whole log to take the lead at once.
 
         The lease ends first: what this leader told others on its strength holds
@@ -137,22 +139,24 @@
         """
         if not self.is_leader or self.commit_index < self.last_index:
             return False
-        heirs = [n for n in self.other_voters() if self.match_of(n) == self.last_index]
+        heirs = [
+            n for n in self.other_voters() if self.match_index_of(n) == self.last_index
+        ]
         if not heirs:
             return False
-        heir = max(heirs, key=self.round_of)
+        heir = max(heirs, key=self.acked_round_of)
         self.send(heir, TimeoutNow(self.term, self.node_id))
         self.step_down()
         return True
 
-    def take_over(self, message: TimeoutNow) -> None:
+    def handle_timeout_now(self, message: TimeoutNow) -> None:
         """Campaign at once, as the leader asks."""
         if message.term == self.term and self.role.state == "follower":
             self.campaign(pre_vote=False, transfer=True)
 
     # -- votes -----------------------------------------------------------
 
-    def answer_vote(self, message: VoteRequest) -> None:
+    def handle_vote_request(self, message: VoteRequest) -> None:
         """Grant or refuse a vote.
 
         Whoever asks: a replica that lags may not know a new member yet. The
@@ -163,7 +167,7 @@
             self.last_term,
             self.last_index,
         )
-        granted = up_to_date and (message.transfer or not self.hears_leader())
+        granted = up_to_date and (message.transfer or not self.has_recent_leader())
         if message.pre_vote:
             granted = granted and message.term > self.term
         else:
@@ -174,14 +178,14 @@
             )
         if granted and not message.pre_vote:
             self.voted_for = message.candidate
-            self.reset_election()
+            self.reset_election_timeout()
         term = message.term if granted else self.term
         self.send(
             message.candidate,
             VoteReply(term, self.node_id, granted, message.pre_vote, self.identity),
         )
 
-    def take_vote(self, message: VoteReply) -> None:
+    def handle_vote_reply(self, message: VoteReply) -> None:
         """Count a vote."""
         if message.pre_vote and not message.granted and message.term > self.term:
             self.adopt_term(message.term)
--- a/src/wisteriapulley/consensus/files.py
+++ b/src/wisteriapulley/consensus/files.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-FULL = (errno.ENOSPC, errno.EDQUOT)
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 # Written to see whether a full disk has room again: more than a batch of records.
 PROBE_NAME = "room"
 PROBE_BYTES = 1 << 16
@@ -45,7 +45,7 @@
             while rest:
                 rest = rest[self.write(descriptor, rest) :]
         except OSError as error:
-            raise failed_write(path, "writing", error) from error
+            raise write_error(path, "writing", error) from error
 
     def truncate(self, path: Path, size: int) -> None:
         """Cut a file.
@@ -58,9 +58,9 @@
         try:
             os.truncate(path, size)
         except OSError as error:
-            raise failed_write(path, "cutting", error) from error
+            raise write_error(path, "cutting", error) from error
 
-    def has_room(self, folder: Path) -> bool:
+    def has_free_space(self, folder: Path) -> bool:
         """Try whether a folder's disk takes a write again."""
         probe = folder / PROBE_NAME
         try:
@@ -85,7 +85,7 @@
         try:
             self.fsync(descriptor)
         except OSError as error:
-            full = error.errno in FULL
+            full = error.errno in DISK_FULL_ERRNOS
             code = ResultCode.DISK_FULL if full else ResultCode.FSYNC_FAILED
             raise StorageError(code, f"{path}: fsync: {error}") from error
 
@@ -130,10 +130,10 @@
         return descriptor
 
 
-def failed_write(path: Path, what: str, error: OSError) -> StorageError:
+def write_error(path: Path, what: str, error: OSError) -> StorageError:
     """Make the error for a write that failed."""
     text = f"{path}: {what}: {error}"
-    if error.errno in FULL:
+    if error.errno in DISK_FULL_ERRNOS:
         return NoRoomError(ResultCode.DISK_FULL, text)
     return StorageError(ResultCode.FSYNC_FAILED, text)
 
--- a/src/wisteriapulley/consensus/frames.py
+++ b/src/wisteriapulley/consensus/frames.py
@@ -11,13 +11,13 @@
 from typing import NamedTuple
 
 HEADER = struct.Struct("<IIIB")
-MARK = struct.Struct("<Q")
+UINT64 = struct.Struct("<Q")
 CRC_BYTES = 4
 # Disks write whole sectors: one that a crash kept from the disk reads as zeros.
-SECTOR = 512
+SECTOR_BYTES = 512
 # Bytes that never reached the disk also read as zeros within a sector, where a
 # write is torn at any byte: so many in a row are no accident of a payload.
-HOLE = bytes(8)
+ZERO_RUN = bytes(8)
 
 KIND_HARD_STATE = 1
 KIND_RECORD = 2
@@ -27,7 +27,7 @@
 KIND_COMMITTED = 6
 
 
-class Scanned(NamedTuple):
+class ScannedFrame(NamedTuple):
     """A whole frame of a file and where it ends."""
 
     kind: int
@@ -41,17 +41,17 @@
     return zlib.crc32(header).to_bytes(CRC_BYTES, "little") + header + payload
 
 
-def pack_mark(offset: int) -> bytes:
+def pack_sync_mark(offset: int) -> bytes:
     """Pack the mark that every byte before `offset` was synced."""
-    return pack(KIND_SYNCED, MARK.pack(offset))
+    return pack(KIND_SYNCED, UINT64.pack(offset))
 
 
-def pack_committed(index: int) -> bytes:
+def pack_committed_index(index: int) -> bytes:
     """Pack the note that every record up to `index` is committed."""
-    return pack(KIND_COMMITTED, MARK.pack(index))
+    return pack(KIND_COMMITTED, UINT64.pack(index))
 
 
-def frame_at(data: bytes, offset: int) -> Scanned | None:
+def frame_at(data: bytes, offset: int) -> ScannedFrame | None:
     """Read the frame at `offset`; None when it is not whole and right."""
     if offset + HEADER.size > len(data):
         return None
@@ -62,10 +62,10 @@
     payload = data[start : start + length]
     if len(payload) < length or zlib.crc32(payload) != payload_crc:
         return None
-    return Scanned(kind, payload, start + length)
+    return ScannedFrame(kind, payload, start + length)
 
 
-def scan(data: bytes) -> Iterator[Scanned]:
+def scan(data: bytes) -> Iterator[ScannedFrame]:
     """Yield whole frames up to the first that is not."""
     offset = 0
     while (frame := frame_at(data, offset)) is not None:
@@ -73,19 +73,19 @@
         offset = frame.end
 
 
-def marked_beyond(data: bytes, offset: int) -> bool:
+def is_marked_synced(data: bytes, offset: int) -> bool:
     """Tell whether a mark after `offset` says that `offset` was synced."""
-    pattern = HEADER.pack(0, 0, MARK.size, KIND_SYNCED)[2 * CRC_BYTES :]
+    pattern = HEADER.pack(0, 0, UINT64.size, KIND_SYNCED)[2 * CRC_BYTES :]
     found = data.find(pattern, offset)
     while found >= 0:
         frame = frame_at(data, found - 2 * CRC_BYTES)
-        if frame is not None and MARK.unpack(frame.payload)[0] > offset:
+        if frame is not None and UINT64.unpack(frame.payload)[0] > offset:
             return True
         found = data.find(pattern, found + 1)
     return False
 
 
-def cut_short(data: bytes, offset: int) -> bool:
+def is_torn_write(data: bytes, offset: int) -> bool:
     """Tell whether the bytes from `offset` look like an unfinished write.
 
     An append that a crash cut ends early, or lacks sectors, which read as
@@ -98,8 +98,11 @@
     if zlib.crc32(data[offset + CRC_BYTES : start]) == header_crc:
         if start + length > len(data):
             return True
-    if HOLE in data[offset:]:
+    if ZERO_RUN in data[offset:]:
         return True
-    edges = [offset, *range((offset // SECTOR + 1) * SECTOR, len(data), SECTOR)]
+    edges = [
+        offset,
+        *range((offset // SECTOR_BYTES + 1) * SECTOR_BYTES, len(data), SECTOR_BYTES),
+    ]
     pieces = zip(edges, [*edges[1:], len(data)], strict=True)
     return any(not any(data[first:last]) for first, last in pieces)
--- a/src/wisteriapulley/consensus/log.py
+++ b/src/wisteriapulley/consensus/log.py
@@ -49,16 +49,16 @@
         start = max(first, self.base_index + 1) - self.base_index - 1
         return self.records[start : max(start, last - self.base_index)]
 
-    def batch(self, first: int, most: int, most_bytes: int) -> tuple[Record, ...]:
+    def batch(self, first: int, max_records: int, max_bytes: int) -> tuple[Record, ...]:
         """Return records from `first` on, within a count and a size.
 
         One record that alone is larger than `most_bytes` still goes.
         """
-        records = self.between(first, first + most - 1)
+        records = self.between(first, first + max_records - 1)
         size = 0
         for count, record in enumerate(records):
             size += len(record.data)
-            if size > most_bytes and count:
+            if size > max_bytes and count:
                 return tuple(records[:count])
         return tuple(records)
 
--- a/src/wisteriapulley/consensus/membership.py
+++ b/src/wisteriapulley/consensus/membership.py
@@ -13,7 +13,7 @@
 
 # A voter that answered nothing for so long gives its place to a learner: twice
 # the longest election timeout, so that a new leader has heard everyone by then.
-SILENT_MS = 4000.0
+VOTER_UNRESPONSIVE_AFTER_MS = 4000.0
 
 
 class Membership(Replication):
@@ -28,7 +28,7 @@
         """
         return (
             self.is_leader
-            and not self.handing_over
+            and not self.transferring_leadership
             and self.commit_index >= self.term_start
             and self.commit_index >= self.configurations[-1][0]
         )
@@ -39,21 +39,21 @@
         Without that check a change made while others are away could leave the
         quorum smaller than what is needed to commit the change itself.
         """
-        alive = sum(map(self.answers, members.voters))
-        if alive < members.quorum():
+        alive = sum(map(self.is_responsive, members.voters))
+        if alive < members.quorum_size():
             return None
         index = self.append(RecordKind.MEMBERS, msgspec.msgpack.encode(members))
         self.progress = {
-            node: p for node, p in self.progress.items() if node in self.others()
+            node: p for node, p in self.progress.items() if node in self.peer_ids()
         }
         return index
 
-    def answers(self, node_id: str) -> bool:
+    def is_responsive(self, node_id: str) -> bool:
         """Tell whether a node id answered within an election timeout."""
         if node_id == self.node_id:
             return True
         progress = self.progress.get(node_id)
-        sent = self.round_sent.get(progress.acked_round) if progress else None
+        sent = self.round_sent_ms.get(progress.acked_round) if progress else None
         return sent is not None and self.now_ms - sent < self.timing.election_ms
 
     def remove_member(self, node_id: str) -> int | None:
@@ -73,30 +73,32 @@
             return self.change_members(members.without_voter(node_id))
         return None
 
-    def note_join(self, message: JoinRequest) -> None:
+    def handle_join_request(self, message: JoinRequest) -> None:
         """Remember a disk that asks to join; `manage_members` takes it in."""
         refused = message.identity in self.members.removed
         if self.is_leader and not refused and message.node_id != self.node_id:
-            self.joining[message.node_id] = message.identity
+            self.join_requests[message.node_id] = message.identity
 
     def manage_members(self) -> None:
         """Make the next change that is due, if one may be made."""
         if not self.can_change_members():
             return
         for node_id, identity in tuple(self.members.learners.items()):
-            if self.wants_vote_of(node_id) and self.holds_committed(node_id, identity):
+            if self.should_promote(node_id) and self.has_all_committed_records(
+                node_id, identity
+            ):
                 self.promote(node_id)
                 return
-        if self.voters_wanted and len(self.members.voters) > self.voters_wanted:
-            self.demote_one()
+        if self.desired_voters and len(self.members.voters) > self.desired_voters:
+            self.demote_extra_voter()
             return
-        for node_id, identity in tuple(self.joining.items()):
-            del self.joining[node_id]
+        for node_id, identity in tuple(self.join_requests.items()):
+            del self.join_requests[node_id]
             if not self.members.holds(node_id, identity):
-                self.admit(node_id, identity)
+                self.add_learner(node_id, identity)
                 return
 
-    def wants_vote_of(self, node_id: str) -> bool:
+    def should_promote(self, node_id: str) -> bool:
         """Tell whether a learner is to vote.
 
         A learner takes the place of a voter only when that one is silent, so
@@ -106,28 +108,30 @@
         if self.members.learners[node_id].startswith(OBSERVER_PREFIX):
             return False
         voters = self.members.voters
-        if not self.voters_wanted or node_id in voters:
+        if not self.desired_voters or node_id in voters:
             return True
-        if not self.answers(node_id):
+        if not self.is_responsive(node_id):
             return False
-        return len(voters) < self.voters_wanted or any(map(self.is_silent, voters))
+        return len(voters) < self.desired_voters or any(
+            map(self.is_replaceable, voters)
+        )
 
-    def is_silent(self, node_id: str) -> bool:
-        """Tell whether a voter has not answered for `SILENT_MS`."""
+    def is_replaceable(self, node_id: str) -> bool:
+        """Tell whether a voter has not answered for `VOTER_UNRESPONSIVE_AFTER_MS`."""
         if node_id == self.node_id:
             return False
         progress = self.progress.get(node_id)
-        sent = self.round_sent.get(progress.acked_round) if progress else None
+        sent = self.round_sent_ms.get(progress.acked_round) if progress else None
         heard_ms = self.elected_ms if sent is None else max(sent, self.elected_ms)
-        return self.now_ms - heard_ms > SILENT_MS
+        return self.now_ms - heard_ms > VOTER_UNRESPONSIVE_AFTER_MS
 
-    def demote_one(self) -> None:
+    def demote_extra_voter(self) -> None:
         """Take the vote of a silent voter, or else of the last one by name."""
         others = sorted(self.other_voters())
-        silent = [node_id for node_id in others if self.is_silent(node_id)]
+        silent = [node_id for node_id in others if self.is_replaceable(node_id)]
         self.change_members(self.members.demoted((silent or others)[-1]))
 
-    def holds_committed(self, node_id: str, identity: str) -> bool:
+    def has_all_committed_records(self, node_id: str, identity: str) -> bool:
         """Tell whether a learner's disk has synced every committed record."""
         progress = self.progress.get(node_id)
         return (
@@ -143,10 +147,10 @@
         else:
             self.change_members(self.members.promoted(node_id))
 
-    def admit(self, node_id: str, identity: str) -> None:
+    def add_learner(self, node_id: str, identity: str) -> None:
         """Take a disk in as a learner; a learner that it replaces goes first."""
         if node_id in self.members.learners:
             self.change_members(self.members.without_learner(node_id))
-            self.joining[node_id] = identity
+            self.join_requests[node_id] = identity
         else:
             self.change_members(self.members.with_learner(node_id, identity))
--- a/src/wisteriapulley/consensus/replication.py
+++ b/src/wisteriapulley/consensus/replication.py
@@ -20,16 +20,16 @@
 )
 
 # One append: what a follower syncs at once, far below the frame limit.
-MAX_RECORDS = 512
+MAX_RECORDS_PER_APPEND = 512
 MAX_APPEND_BYTES = 1 << 20
 # Appends to one follower that are not yet answered: enough to fill a link with
 # a few milliseconds of latency, and at most 16 MB that wait for a stalled one.
-MAX_INFLIGHT = 16
+MAX_INFLIGHT_APPENDS = 16
 # Rounds whose sending time is remembered: more than go out in one lease.
-MAX_ROUNDS = 4096
+MAX_TRACKED_ROUNDS = 4096
 # Records kept behind a snapshot, for followers that lag a little: they get
 # these rather than the whole state.
-KEEP_RECORDS = 256
+RECORDS_KEPT_BEHIND_SNAPSHOT = 256
 
 
 class Replication(Election):
@@ -44,10 +44,10 @@
     def broadcast(self) -> None:
         """Send every follower what it lacks, as a new round."""
         self.round += 1
-        self.round_sent[self.round] = self.now_ms
-        self.round_sent.pop(self.round - MAX_ROUNDS, None)
-        self.next_beat_ms = self.now_ms + self.timing.heartbeat_ms
-        for node_id in self.others():
+        self.round_sent_ms[self.round] = self.now_ms
+        self.round_sent_ms.pop(self.round - MAX_TRACKED_ROUNDS, None)
+        self.next_heartbeat_ms = self.now_ms + self.timing.heartbeat_ms
+        for node_id in self.peer_ids():
             self.send_append(node_id, heartbeat=True)
 
     def progress_of(self, node_id: str) -> Progress:
@@ -70,8 +70,8 @@
             self.send_snapshot(node_id, progress)
             return False
         records: tuple[Record, ...] = ()
-        if len(progress.inflight) < MAX_INFLIGHT:
-            records = self.log.batch(first, MAX_RECORDS, MAX_APPEND_BYTES)
+        if len(progress.inflight) < MAX_INFLIGHT_APPENDS:
+            records = self.log.batch(first, MAX_RECORDS_PER_APPEND, MAX_APPEND_BYTES)
         if not records and not heartbeat:
             return False
         self.send(node_id, self.append_request(first, records))
@@ -96,12 +96,12 @@
         """Commit what a majority has synced, if it is of this term."""
         if not self.is_leader:
             return
-        matches = sorted(map(self.match_of, self.members.voters), reverse=True)
-        index = matches[self.members.quorum() - 1]
+        matches = sorted(map(self.match_index_of, self.members.voters), reverse=True)
+        index = matches[self.members.quorum_size() - 1]
         if index > self.commit_index and self.log.term_at(index) == self.term:
             self.commit_index = index
 
-    def match_of(self, node_id: str) -> int:
+    def match_index_of(self, node_id: str) -> int:
         """Return how far a voter's synced log matches; its own disk counts."""
         if node_id == self.node_id:
             return self.synced_index if self.is_voter else 0
@@ -112,16 +112,16 @@
 
     # -- a follower's side -----------------------------------------------
 
-    def follow(self, leader: str) -> None:
+    def follow_leader(self, leader: str) -> None:
         """Note that the leader of this term spoke."""
         if self.role.state == "candidate":
             self.step_down()
         self.leader = leader
-        self.met_leader = True
-        self.heard_ms = self.now_ms
-        self.reset_election()
+        self.has_seen_leader = True
+        self.leader_contact_ms = self.now_ms
+        self.reset_election_timeout()
 
-    def answer_append(self, message: AppendRequest) -> None:
+    def handle_append_request(self, message: AppendRequest) -> None:
         """Take records in, or say from where they are needed."""
         if message.term < self.term:
             self.reply_append(message, False, 0)
@@ -129,7 +129,7 @@
         if self.is_leader:
             # One leader a term in one cluster: the sender's is another one.
             return
-        self.follow(message.leader)
+        self.follow_leader(message.leader)
         previous = message.previous_index
         if previous > self.last_index:
             self.reply_append(message, False, self.last_index)
@@ -164,12 +164,12 @@
             ),
         )
 
-    def answer_part(self, message: SnapshotPart) -> None:
+    def handle_snapshot_part(self, message: SnapshotPart) -> None:
         """Collect a part of a snapshot; install it when it is whole."""
         held = 0
         if message.term >= self.term and not self.is_leader:
-            self.follow(message.leader)
-            held = self.collect(message)
+            self.follow_leader(message.leader)
+            held = self.collect_snapshot_part(message)
         self.send(
             message.leader,
             SnapshotReply(
@@ -182,30 +182,34 @@
             ),
         )
 
-    def collect(self, message: SnapshotPart) -> int:
+    def collect_snapshot_part(self, message: SnapshotPart) -> int:
         """Keep a part that follows on; return how many bytes are held."""
         if message.last_index <= self.commit_index:
             return message.total
         key = (message.last_index, message.last_term, message.total)
-        if key != self.incoming:
-            self.incoming, self.received = key, bytearray()
-        if message.offset == len(self.received):
-            self.received += message.data
-        held = len(self.received)
+        if key != self.incoming_snapshot:
+            self.incoming_snapshot, self.snapshot_buffer = key, bytearray()
+        if message.offset == len(self.snapshot_buffer):
+            self.snapshot_buffer += message.data
+        held = len(self.snapshot_buffer)
         if held >= message.total:
-            self.install(message, bytes(self.received))
-            self.incoming, self.received = (0, 0, 0), bytearray()
+            self.install_snapshot(message, bytes(self.snapshot_buffer))
+            self.incoming_snapshot, self.snapshot_buffer = (0, 0, 0), bytearray()
         return held
 
-    def install(self, message: SnapshotPart, data: bytes) -> None:
+    def install_snapshot(self, message: SnapshotPart, data: bytes) -> None:
         """Put a whole snapshot in place of the log up to it."""
         members = msgspec.msgpack.decode(message.members, type=Members)
-        self.installed = Snapshot(message.last_index, message.last_term, members, data)
-        self.snapshot = SnapshotInfo.from_snapshot(self.installed)
+        self.installed_snapshot = Snapshot(
+            message.last_index, message.last_term, members, data
+        )
+        self.snapshot = SnapshotInfo.from_snapshot(self.installed_snapshot)
         self.log.reset(message.last_index, message.last_term)
-        self.unsaved = [r for r in self.unsaved if r.index > message.last_index]
+        self.unsaved_records = [
+            r for r in self.unsaved_records if r.index > message.last_index
+        ]
         if not self.log.records:
-            self.unsaved = []
+            self.unsaved_records = []
         self.configurations = [(message.last_index, members)]
         for record in self.log.records:
             self.adopt_members(record)
@@ -217,7 +221,7 @@
 
     # -- the leader's side -----------------------------------------------
 
-    def heard_from(self, node_id: str, identity: str, round: int) -> Progress | None:
+    def record_reply(self, node_id: str, identity: str, round: int) -> Progress | None:
         """Note an answer; None when the disk is not one of the members."""
         if not self.members.holds(node_id, identity):
             return None
@@ -227,18 +231,18 @@
             progress = self.progress[node_id] = Progress(self.last_index + 1)
             progress.identity = identity
         progress.acked_round = max(progress.acked_round, round)
-        self.confirm_round()
+        self.update_quorum_contact()
         return progress
 
-    def take_append_reply(self, message: AppendReply) -> None:
+    def handle_append_reply(self, message: AppendReply) -> None:
         """Note how far a follower is, and send what it lacks."""
         if not self.is_leader or message.term != self.term:
             return
-        progress = self.heard_from(message.follower, message.identity, message.round)
+        progress = self.record_reply(message.follower, message.identity, message.round)
         if progress is None:
             return
         if message.success:
-            progress.matched(message.match_index)
+            progress.record_match(message.match_index)
         else:
             progress.retry_from(message.hint + 1)
         while self.send_append(message.follower):
@@ -275,15 +279,15 @@
             ),
         )
 
-    def take_part_reply(self, message: SnapshotReply) -> None:
+    def handle_snapshot_reply(self, message: SnapshotReply) -> None:
         """Send the next part, or the records after a whole snapshot."""
         if not self.is_leader or message.term != self.term:
             return
-        progress = self.heard_from(message.follower, message.identity, message.round)
+        progress = self.record_reply(message.follower, message.identity, message.round)
         if progress is None or message.last_index != progress.snapshot_index:
             return
         if message.offset >= progress.snapshot_total:
-            progress.matched(message.last_index)
+            progress.record_match(message.last_index)
             self.advance_commit()
         else:
             progress.snapshot_offset = message.offset
@@ -309,5 +313,5 @@
         snapshot = Snapshot(index, self.log.term_at(index), members, data)
         self.snapshot = SnapshotInfo.from_snapshot(snapshot)
         self.configurations = [(index, members), *later]
-        self.log.compact(max(self.log.base_index, index - KEEP_RECORDS))
+        self.log.compact(max(self.log.base_index, index - RECORDS_KEPT_BEHIND_SNAPSHOT))
         return snapshot
--- a/src/wisteriapulley/consensus/setup.py
+++ b/src/wisteriapulley/consensus/setup.py
@@ -20,7 +20,9 @@
     """
     identity = new_identity()
     members = Members({settings.node_id: identity})
-    return write_new(settings, DiskIdentity(settings.node_id, identity, members))
+    return write_new_identity(
+        settings, DiskIdentity(settings.node_id, identity, members)
+    )
 
 
 def join_folder(settings: ControlSettings) -> DiskIdentity:
@@ -32,10 +34,12 @@
         The folder is in use.
     """
     identity = DiskIdentity(settings.node_id, new_identity(), Members({}))
-    return write_new(settings, identity)
+    return write_new_identity(settings, identity)
 
 
-def write_new(settings: ControlSettings, identity: DiskIdentity) -> DiskIdentity:
+def write_new_identity(
+    settings: ControlSettings, identity: DiskIdentity
+) -> DiskIdentity:
     """Write an identity into the data folder."""
     write_identity(settings.data_folder, identity, Files())
     return identity
--- a/src/wisteriapulley/consensus/storage.py
+++ b/src/wisteriapulley/consensus/storage.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from wisteriapulley.consensus import frames
-from wisteriapulley.consensus.files import Files, failed_write
+from wisteriapulley.consensus.files import Files, write_error
 from wisteriapulley.consensus.log import Log
 from wisteriapulley.consensus.types import (
     HardState,
@@ -94,7 +94,7 @@
         ) from error
 
 
-class SnapshotHead(msgspec.Struct, frozen=True):
+class SnapshotHeader(msgspec.Struct, frozen=True):
     """First frame of the snapshot file; the state's bytes follow it."""
 
     last_index: int
@@ -147,7 +147,7 @@
         self.snapshot_offset = 0
         self.committed = 0
         self.appended_bytes = 0
-        self.end = 0
+        self.log_size = 0
         self.failure: StorageError | None = None
         self.descriptor = -1
         self.lock_descriptor = -1
@@ -186,9 +186,9 @@
         except NoRoomError as error:
             self.failure = error
 
-    def has_room(self) -> bool:
+    def has_free_space(self) -> bool:
         """Tell whether the disk takes writes again after it was full."""
-        return self.files.has_room(self.folder)
+        return self.files.has_free_space(self.folder)
 
     def read_snapshot(self) -> bytes:
         """Read and check the snapshot; return the state's bytes."""
@@ -197,11 +197,11 @@
         content = self.snapshot_path.read_bytes()
         frame = frames.frame_at(content, 0)
         if frame is None or frame.kind != frames.KIND_SNAPSHOT:
-            raise self.damaged(self.snapshot_path, 0)
-        head = msgspec.msgpack.decode(frame.payload, type=SnapshotHead)
+            raise self.damage_error(self.snapshot_path, 0)
+        head = msgspec.msgpack.decode(frame.payload, type=SnapshotHeader)
         data = content[frame.end :]
         if len(data) != head.total or zlib.crc32(data) != head.crc:
-            raise self.damaged(self.snapshot_path, frame.end)
+            raise self.damage_error(self.snapshot_path, frame.end)
         self.snapshot = SnapshotInfo(
             head.last_index, head.last_term, head.members, head.total
         )
@@ -216,10 +216,12 @@
             self.replay(frame.kind, frame.payload)
             end = frame.end
         if end < len(data):
-            if frames.marked_beyond(data, end) or not frames.cut_short(data, end):
-                raise self.damaged(self.path, end)
-        self.end = end
-        self.join_snapshot()
+            if frames.is_marked_synced(data, end) or not frames.is_torn_write(
+                data, end
+            ):
+                raise self.damage_error(self.path, end)
+        self.log_size = end
+        self.align_log_with_snapshot()
         if end < len(data):
             self.files.truncate(self.path, end)
 
@@ -231,7 +233,7 @@
             base = msgspec.msgpack.decode(payload, type=LogBase)
             self.log = Log(base.index, base.term)
         elif kind == frames.KIND_COMMITTED:
-            self.committed = frames.MARK.unpack(payload)[0]
+            self.committed = frames.UINT64.unpack(payload)[0]
         elif kind == frames.KIND_RECORD:
             record = msgspec.msgpack.decode(payload, type=Record)
             if not self.log.base_index < record.index <= self.log.last_index + 1:
@@ -242,7 +244,7 @@
                 )
             self.log.put(record)
 
-    def join_snapshot(self) -> None:
+    def align_log_with_snapshot(self) -> None:
         """Let the log follow the snapshot, which may be newer after a crash."""
         if self.snapshot is not None:
             if not self.log.holds(self.snapshot.last_index, self.snapshot.last_term):
@@ -260,9 +262,9 @@
         )
         self.files.sync(self.path, self.descriptor)
         self.files.sync_folder(self.folder)
-        self.mark()
+        self.write_sync_mark()
 
-    def damaged(self, path: Path, offset: int) -> StorageError:
+    def damage_error(self, path: Path, offset: int) -> StorageError:
         """Make the error for damage that no unfinished write explains."""
         return StorageError(
             ResultCode.LOG_DAMAGED,
@@ -301,14 +303,14 @@
         if not parts:
             return
         for batch in [b"".join(parts)] if grouped else parts:
-            with self.guard():
+            with self.stop_after_failure():
                 self.files.write_all(self.path, self.descriptor, batch)
                 self.files.sync(self.path, self.descriptor)
-                self.end += len(batch)
+                self.log_size += len(batch)
                 self.appended_bytes += len(batch)
-                self.mark()
+                self.write_sync_mark()
 
-    def note_committed(self, index: int) -> None:
+    def record_committed_index(self, index: int) -> None:
         """Write, without a sync, how far the log is committed.
 
         Load: all instances are killed and start again. Harm prevented: without the
@@ -316,20 +318,20 @@
         elected and heard, half a second later, and until then entries know no
         route and engines no version that they may serve.
         """
-        with self.guard():
-            note = frames.pack_committed(index)
+        with self.stop_after_failure():
+            note = frames.pack_committed_index(index)
             self.files.write_all(self.path, self.descriptor, note)
-            self.end += len(note)
+            self.log_size += len(note)
             self.committed = index
 
-    def mark(self) -> None:
+    def write_sync_mark(self) -> None:
         """Write, without a sync, how far the file is synced."""
-        mark = frames.pack_mark(self.end)
+        mark = frames.pack_sync_mark(self.log_size)
         self.files.write_all(self.path, self.descriptor, mark)
-        self.end += len(mark)
+        self.log_size += len(mark)
 
     @contextlib.contextmanager
-    def guard(self):
+    def stop_after_failure(self):
         """Let nothing be saved after a failure.
 
         Raises
@@ -342,7 +344,7 @@
         try:
             yield
         except OSError as error:
-            self.failure = failed_write(self.folder, "opening", error)
+            self.failure = write_error(self.folder, "opening", error)
             raise self.failure from error
         except StorageError as error:
             self.failure = error
@@ -356,7 +358,7 @@
         A crash in between leaves a snapshot newer than the log's base, which
         `join_snapshot` joins.
         """
-        head = SnapshotHead(
+        head = SnapshotHeader(
             snapshot.last_index,
             snapshot.last_term,
             snapshot.members,
@@ -368,24 +370,24 @@
         parts = [frames.pack(frames.KIND_BASE, msgspec.msgpack.encode(base))]
         parts.append(pack_hard_state(hard_state))
         parts += map(pack_record, log.records)
-        parts.append(frames.pack_committed(self.committed))
+        parts.append(frames.pack_committed_index(self.committed))
         content = b"".join(parts)
-        with self.guard():
+        with self.stop_after_failure():
             self.files.replace(self.snapshot_path, start + snapshot.data)
             self.snapshot = SnapshotInfo.from_snapshot(snapshot)
             self.snapshot_offset = len(start)
             self.files.replace(self.path, content)
             os.close(self.descriptor)
             self.descriptor = -1
-            self.end = len(content)
+            self.log_size = len(content)
             self.open_log()
         self.appended_bytes = 0
 
-    def snapshot_part(self, offset: int, most: int) -> bytes:
+    def read_snapshot_part(self, offset: int, max_bytes: int) -> bytes:
         """Read bytes of the snapshot's state, to send them."""
         with open(self.snapshot_path, "rb") as file:
             file.seek(self.snapshot_offset + offset)
-            return file.read(most)
+            return file.read(max_bytes)
 
     def close(self) -> None:
         """Close the log and let go of the folder."""
--- a/src/wisteriapulley/consensus/types.py
+++ b/src/wisteriapulley/consensus/types.py
@@ -59,11 +59,11 @@
     learners: dict[str, str] = {}
     removed: tuple[str, ...] = ()
 
-    def everyone(self) -> tuple[str, ...]:
+    def node_ids(self) -> tuple[str, ...]:
         """Return the node ids of voters and learners, each once."""
         return tuple(dict.fromkeys((*self.voters, *self.learners)))
 
-    def quorum(self) -> int:
+    def quorum_size(self) -> int:
         """Return how many voters make a majority."""
         return len(self.voters) // 2 + 1
 
@@ -160,8 +160,8 @@
         Receiver and message, to send after the sync.
     """
 
-    early: tuple[tuple[str, tuple], ...]
+    early_messages: tuple[tuple[str, tuple], ...]
     hard_state: HardState | None
     records: tuple[Record, ...]
     snapshot: Snapshot | None
-    messages: tuple[tuple[str, tuple], ...]
+    late_messages: tuple[tuple[str, tuple], ...]
--- a/src/wisteriapulley/control/driver.py
+++ b/src/wisteriapulley/control/driver.py
@@ -20,8 +20,15 @@
 from wisteriapulley.control.commands import Command, Result, encode
 from wisteriapulley.control.seeds import files_of
 from wisteriapulley.control.state import ControlState, stamp
-from wisteriapulley.errors import NoRoomError, ResultCode, StorageError, WireError
-from wisteriapulley.errors import WisteriapulleyError as Error
+from wisteriapulley.errors import (
+    NoRoomError,
+    ResultCode,
+    StorageError,
+    WireError,
+)
+from wisteriapulley.errors import (
+    WisteriapulleyError as Error,
+)
 from wisteriapulley.logs import fields
 from wisteriapulley.settings import ControlSettings
 from wisteriapulley.wire import Link, messages
@@ -154,7 +161,7 @@
             since_ms,
             self.storage.committed,
         )
-        replica.voters_wanted = self.settings.voters
+        replica.desired_voters = self.settings.voters
         return replica
 
     def start(self) -> None:
@@ -186,7 +193,7 @@
         """
         replica = self.replica
         deadline_ms = (
-            replica.next_beat_ms if replica.is_leader else (replica.election_at_ms)
+            replica.next_heartbeat_ms if replica.is_leader else (replica.election_at_ms)
         )
         if self.commit_index_unsaved and not self.suspended:
             # Otherwise an idle instance saves the commit index only at its next tick,
@@ -249,7 +256,7 @@
         if now_ms < self.next_disk_retry_ms:
             return
         self.next_disk_retry_ms = now_ms + DISK_RETRY_MS
-        if not await self.run_on_disk(self.storage.has_room):
+        if not await self.run_on_disk(self.storage.has_free_space):
             return
         self.storage.close()
         folder = self.settings.data_folder
@@ -280,14 +287,14 @@
         """Send what needs no sync, sync, send the rest, and apply."""
         self.replica.flush_if_pending()
         ready = self.replica.ready()
-        for node_id, message in ready.early:
+        for node_id, message in ready.early_messages:
             self.send(node_id, message)
-        if ready.early and ready.records:
+        if ready.early_messages and ready.records:
             # The transport writes at the end of this iteration of the event loop.
             # Yield, so that the followers sync at the same time as this instance.
             await asyncio.sleep(0)
         await self.persist(ready)
-        for node_id, message in ready.messages:
+        for node_id, message in ready.late_messages:
             self.send(node_id, message)
         committed = self.apply_committed()
         await self.compact_if_due()
@@ -349,7 +356,9 @@
         if not self.commit_index_unsaved or now_ms < self.next_commit_save_ms:
             return
         self.next_commit_save_ms = now_ms + COMMIT_SAVE_INTERVAL_MS
-        await self.run_on_disk(self.storage.note_committed, self.replica.applied_index)
+        await self.run_on_disk(
+            self.storage.record_committed_index, self.replica.applied_index
+        )
 
     async def compact_if_due(self) -> None:
         """Replace the log by a snapshot when it has outgrown the state.
@@ -384,7 +393,7 @@
         if isinstance(message, messages.SnapshotPart):
             if message.last_index != self.storage.snapshot.last_index:
                 return
-            data = self.storage.snapshot_part(message.offset, SNAPSHOT_PART_BYTES)
+            data = self.storage.read_snapshot_part(message.offset, SNAPSHOT_PART_BYTES)
             message = message._replace(data=data)
         link = self.link_to(node_id)
         if link is not None:
@@ -517,14 +526,14 @@
         deadline_ms = steady_ms() + TRANSFER_TIMEOUT_S * 1000
         if not (self.replica.is_leader and self.replica.other_voters()):
             return
-        self.replica.handing_over = True
+        self.replica.transferring_leadership = True
         while self.replica.is_leader and steady_ms() < deadline_ms:
-            asked = self.replica.hand_over()
+            asked = self.replica.transfer_leadership()
             self.wakeup.set()
             await asyncio.sleep(MIN_TICK_S)
             if asked:
                 return
-        self.replica.handing_over = False
+        self.replica.transferring_leadership = False
 
     async def stop(self) -> None:
         """Transfer leadership, stop ticking and close the disk."""
--- a/src/wisteriapulley/control/news.py
+++ b/src/wisteriapulley/control/news.py
@@ -83,7 +83,7 @@
 
     def known_hosts(self) -> messages.ControlNews:
         """Return all instances that take part, as far as known."""
-        hosts = tuple(sorted(self.driver.replica.members.everyone()))
+        hosts = tuple(sorted(self.driver.replica.members.node_ids()))
         domains = tuple(self.domains.get(host, "") for host in hosts)
         return messages.ControlNews(hosts, domains)
 
--- a/src/wisteriapulley/control/quorum_members.py
+++ b/src/wisteriapulley/control/quorum_members.py
@@ -69,10 +69,10 @@
         """Take a member out for good; a leader hands over first."""
         replica = self.leading(request)
         node_id = request.match_info["node_id"]
-        if node_id not in replica.members.everyone():
+        if node_id not in replica.members.node_ids():
             raise StorageError(
                 ResultCode.MEMBER_UNKNOWN,
-                f"expected one of {replica.members.everyone()}, got {node_id!r}",
+                f"expected one of {replica.members.node_ids()}, got {node_id!r}",
             )
         if node_id == replica.node_id and len(replica.members.voters) > 1:
             await self.service.driver.hand_over()
@@ -97,5 +97,5 @@
     progress = replica.progress.get(node_id)
     if progress is None or progress.identity != identity:
         return MemberRow(node_id, identity, votes, 0, False)
-    alive = replica.answers(node_id)
+    alive = replica.is_responsive(node_id)
     return MemberRow(node_id, identity, votes, progress.match_index, alive)
--- a/src/wisteriapulley/operator_client.py
+++ b/src/wisteriapulley/operator_client.py
@@ -11,17 +11,17 @@
 
 from wisteriapulley.catalogue import Change, ChangeResult, diff, load_folder
 from wisteriapulley.catalogue.catalogue import CatalogueImage
-from wisteriapulley.catalogue.changes import show_changes
+from wisteriapulley.catalogue.changes import format_changes
 from wisteriapulley.control.reports import Status
 from wisteriapulley.errors import CatalogueError, ResultCode, SettingsError
 from wisteriapulley.settings import Address
 
-TIMEOUT_S = 5.0
+REQUEST_TIMEOUT_S = 5.0
 # Each instance is asked at least twice: a new leader is elected meanwhile.
-ROUNDS = 3
-PAUSE_S = 0.5
-UNAVAILABLE = 503
-REFUSED = 400
+ATTEMPTS_PER_ADDRESS = 3
+RETRY_PAUSE_S = 0.5
+STATUS_UNAVAILABLE = 503
+FIRST_ERROR_STATUS = 400
 
 
 class OperatorClient:
@@ -77,19 +77,19 @@
             the outcome of a change is not known.
         """
         reason = "no control instance answered"
-        for address in self.addresses * ROUNDS:
+        for address in self.addresses * ATTEMPTS_PER_ADDRESS:
             try:
                 status, data = self.request_one(address, method, path, body)
             except (OSError, http.client.HTTPException) as error:
                 reason = f"{address}: {error!r}"
             else:
-                if status < REFUSED:
+                if status < FIRST_ERROR_STATUS:
                     return data
-                if status != UNAVAILABLE:
-                    raise_coded(data)
+                if status != STATUS_UNAVAILABLE:
+                    raise_result_code(data)
                     return data
                 reason = f"{address}: {error_text(data)}"
-            time.sleep(PAUSE_S)
+            time.sleep(RETRY_PAUSE_S)
         raise CatalogueError(
             ResultCode.NO_QUORUM, f"{reason}; whether it was accepted is not known"
         )
@@ -99,7 +99,7 @@
     ) -> tuple[int, bytes]:
         """Send to one instance."""
         connection = http.client.HTTPConnection(
-            address.host, address.port, timeout=TIMEOUT_S
+            address.host, address.port, timeout=REQUEST_TIMEOUT_S
         )
         try:
             headers = {"Authorization": f"Bearer {self.token}"}
@@ -154,7 +154,7 @@
         ) from error
 
 
-def raise_coded(data: bytes) -> None:
+def raise_result_code(data: bytes) -> None:
     """Raise the coded error that an answer holds; let a change's result pass."""
     try:
         error = msgspec.json.decode(data, type=ErrorAnswer).error
@@ -171,14 +171,14 @@
         return data[:200].decode(errors="replace")
 
 
-def show_diff(client: OperatorClient, folder: str) -> Iterator[str]:
+def format_diff(client: OperatorClient, folder: str) -> Iterator[str]:
     """Yield what apply would change, key by key."""
     image = client.catalogue()
     puts, deletes = diff(load_folder(folder), image.entries, client.owner)
-    yield from show_changes(puts, deletes, image.entries)
+    yield from format_changes(puts, deletes, image.entries)
 
 
-class Applied(NamedTuple):
+class ApplyResult(NamedTuple):
     """Outcome of `apply_folder`: the revision, and whether a change was sent."""
 
     revision: int
@@ -186,7 +186,9 @@
     is_new: bool
 
 
-def apply_folder(client: OperatorClient, folder: str, change_id: str = "") -> Applied:
+def apply_folder(
+    client: OperatorClient, folder: str, change_id: str = ""
+) -> ApplyResult:
     """Make the accepted entries those of a folder.
 
     Idempotent: nothing is sent when nothing differs, so a run after a lost
@@ -202,7 +204,7 @@
     image = client.catalogue()
     puts, deletes = diff(load_folder(folder), image.entries, client.owner)
     if not puts and not deletes:
-        return Applied(image.revision, change_id, False)
+        return ApplyResult(image.revision, change_id, False)
     change = Change(change_id or uuid.uuid4().hex, client.owner, puts, deletes)
     try:
         result = client.change(change)
@@ -218,4 +220,4 @@
         raise CatalogueError(
             ResultCode(result.code), f"{result.message}; accepted: {accepted}"
         )
-    return Applied(result.revision, change.change_id, True)
+    return ApplyResult(result.revision, change.change_id, True)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -4,8 +4,8 @@
 from specs.cluster import Cluster, Disk
 
 from wisteriapulley.consensus import Members, Replica
-from wisteriapulley.consensus.replica import MAX_PENDING
-from wisteriapulley.consensus.replication import MAX_INFLIGHT
+from wisteriapulley.consensus.replica import MAX_UNCOMMITTED_RECORDS
+from wisteriapulley.consensus.replication import MAX_INFLIGHT_APPENDS
 from wisteriapulley.consensus.types import OBSERVER_PREFIX
 from wisteriapulley.errors import ResultCode, StorageError
 from wisteriapulley.wire.messages import (
@@ -102,21 +102,21 @@
 
     def test_appends_in_flight_are_bounded(self, cluster):
         leader = cluster.leader.replica
-        for _ in range(3 * MAX_INFLIGHT):
+        for _ in range(3 * MAX_INFLIGHT_APPENDS):
             leader.propose(b"x")
             leader.flush_if_pending()
             leader.synced(leader.ready())
         waiting = [len(p.inflight) for p in leader.progress.values()]
-        assert waiting == [MAX_INFLIGHT, MAX_INFLIGHT]
+        assert waiting == [MAX_INFLIGHT_APPENDS, MAX_INFLIGHT_APPENDS]
         cluster.pass_ms(1000)
         cluster.commit()
         assert {n.replica.last_index for n in cluster.up()} == {leader.last_index}
 
     def test_proposals_that_cannot_commit_are_refused_at_a_bound(self, cluster):
         leader = cluster.leader.replica
-        taken = [leader.propose(b"x") for _ in range(MAX_PENDING + 2)]
-        assert taken[MAX_PENDING - 1] is not None
-        assert taken[MAX_PENDING:] == [None, None]
+        taken = [leader.propose(b"x") for _ in range(MAX_UNCOMMITTED_RECORDS + 2)]
+        assert taken[MAX_UNCOMMITTED_RECORDS - 1] is not None
+        assert taken[MAX_UNCOMMITTED_RECORDS:] == [None, None]
 
     def test_committed_record_of_another_cluster_stops_the_instance(self, cluster):
         cluster.commit()
@@ -148,7 +148,7 @@
         cluster.commit(20)
         cluster.compact(leader.node_id)
         cluster.boot(behind.node_id)
-        while not behind.replica.received:
+        while not behind.replica.snapshot_buffer:
             cluster.pass_ms(25)
         cluster.propose()
         leader_turns = leader.replica.commit_index
@@ -191,7 +191,7 @@
         voter = cluster.followers[0]
         cluster.boot(voter.node_id)
         voter.replica.now_ms = cluster.clock(voter) + 900
-        assert voter.replica.hears_leader()
+        assert voter.replica.has_recent_leader()
 
     def test_slow_start_counts_toward_the_wait(self, cluster):
         voter = cluster.followers[0]
@@ -205,7 +205,7 @@
             now_ms=now_ms,
             started_ms=now_ms - 1000,
         )
-        assert not restarted.hears_leader()
+        assert not restarted.has_recent_leader()
         assert restarted.election_at_ms < now_ms + restarted.timing.election_ms
 
     def test_all_lost_at_once_elect_soon(self, cluster):
@@ -216,8 +216,8 @@
         for name in ("a", "b", "c"):
             cluster.boot(name)
             replica = cluster.nodes[name].replica
-            replica.heard_ms -= 2000
-            replica.hasten_election()
+            replica.leader_contact_ms -= 2000
+            replica.schedule_early_election()
         cluster.pass_ms(700)
         assert cluster.leaders()
 
@@ -244,7 +244,7 @@
 
     def test_hand_over_ends_the_lease_and_needs_no_timeout(self, cluster):
         first = cluster.leader
-        assert first.replica.hand_over()
+        assert first.replica.transfer_leadership()
         assert first.replica.lease_left_ms(cluster.clock(first)) == 0
         cluster.pass_ms(100)
         assert cluster.leader is not first
@@ -286,7 +286,7 @@
         """Boot the spare into a cluster that wants three voters."""
         cluster.replace_disk("d")
         for node in cluster.up():
-            node.replica.voters_wanted = 3
+            node.replica.desired_voters = 3
         cluster.pass_ms(3000)
         return cluster
 
@@ -309,7 +309,7 @@
         # It keeps its disk's identity, so that it may come back as a learner.
         assert lost in members.learners
         cluster.boot(lost)
-        cluster.nodes[lost].replica.voters_wanted = 3
+        cluster.nodes[lost].replica.desired_voters = 3
         cluster.pass_ms(3000)
         cluster.commit()
         assert revisions(cluster) == [4, 4, 4, 4]
@@ -318,17 +318,17 @@
         """An instance without a disk forgets at a restart what it agreed to."""
         self.wanted_three(cluster)
         leader = cluster.leader.replica
-        leader.note_join(JoinRequest(0, "x", OBSERVER_PREFIX + "1"))
+        leader.handle_join_request(JoinRequest(0, "x", OBSERVER_PREFIX + "1"))
         cluster.pass_ms(500)
         assert leader.members.learners["x"] == OBSERVER_PREFIX + "1"
         # Neither in place of a silent voter, nor where voters are missing.
         leader.progress["x"].identity = OBSERVER_PREFIX + "1"
         leader.progress["x"].match_index = leader.commit_index
-        leader.answers = lambda node_id: True
-        leader.is_silent = lambda node_id: node_id != leader.node_id
-        assert not leader.wants_vote_of("x")
+        leader.is_responsive = lambda node_id: True
+        leader.is_replaceable = lambda node_id: node_id != leader.node_id
+        assert not leader.should_promote("x")
         leader.voters_wanted = 5
-        assert not leader.wants_vote_of("x")
+        assert not leader.should_promote("x")
 
     def test_removed_member_neither_disturbs_nor_comes_back(self, cluster):
         removed = cluster.followers[0]
@@ -339,7 +339,7 @@
         cluster.pass_ms(10_000)
         assert cluster.leader is leader
         assert leader.replica.term == term
-        assert removed.node_id not in leader.replica.members.everyone()
+        assert removed.node_id not in leader.replica.members.node_ids()
 
     def test_change_waits_for_the_last_one_and_for_its_own_majority(self, cluster):
         leader, (first, second) = cluster.leader, cluster.followers
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -6,7 +6,7 @@
 
 from wisteriapulley.claims import Claim, ClaimKey
 from wisteriapulley.consensus import Storage
-from wisteriapulley.consensus.files import Files, failed_write
+from wisteriapulley.consensus.files import Files, write_error
 from wisteriapulley.consensus.setup import init_folder, join_folder
 from wisteriapulley.control import driver as driver_module
 from wisteriapulley.control.commands import PutClaim
@@ -104,10 +104,10 @@
 
     def truncate(self, path, size):
         if self.full:
-            raise failed_write(path, "cutting", OSError(errno.ENOSPC, "full"))
+            raise write_error(path, "cutting", OSError(errno.ENOSPC, "full"))
         super().truncate(path, size)
 
-    def has_room(self, folder):
+    def has_free_space(self, folder):
         return not self.full
 
 
--- a/tests/test_operator_client.py
+++ b/tests/test_operator_client.py
@@ -9,7 +9,11 @@
 
 from wisteriapulley import cli, operator_client
 from wisteriapulley.catalogue import Catalogue, Change
-from wisteriapulley.catalogue_status import by_domain, status_table, wait_in_force
+from wisteriapulley.catalogue_status import (
+    status_by_domain,
+    status_table,
+    wait_in_force,
+)
 from wisteriapulley.control.reports import Status, StatusRow
 from wisteriapulley.errors import CatalogueError, ResultCode
 from wisteriapulley.operator_client import OperatorClient, apply_folder
@@ -45,7 +49,7 @@
 
 @pytest.fixture
 def server(monkeypatch):
-    monkeypatch.setattr(operator_client, "PAUSE_S", 0)
+    monkeypatch.setattr(operator_client, "RETRY_PAUSE_S", 0)
     server = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
     server.catalogue, server.sent, server.lose = Catalogue(), [], 0
     threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -147,7 +151,7 @@
     )
 
     def test_domains_are_summed_and_leaving_nodes_not_waited_for(self):
-        belfast, galway = by_domain(self.STATUS)
+        belfast, galway = status_by_domain(self.STATUS)
         assert (galway.revision, galway.current, galway.nodes) == (3, 1, 2)
         assert (galway.serving, galway.replicas) == (1, 2)
         assert (belfast.current, belfast.nodes) == (1, 1)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -27,7 +27,7 @@
 )
 from soak.run import FAULTS, SoakRun
 
-from wisteriapulley.consensus.frames import pack_committed
+from wisteriapulley.consensus.frames import pack_committed_index
 
 SHAPE = Shape.of_size(2, 3)
 SENT = Sent("id", "entry-1", "POST", "/once/", b"body", 10.0, False, 1)
@@ -229,7 +229,7 @@
     """Faults overlap: a log may be torn while its instance is down already."""
 
     def test_instance_that_is_down_tears_nothing_more(self, tmp_path):
-        content = pack_committed(1) + pack_committed(2)
+        content = pack_committed_index(1) + pack_committed_index(2)
         (tmp_path / "log").write_bytes(content)
         node = SimpleNamespace(data=tmp_path, is_up=True)
         node.kill = lambda: setattr(node, "is_up", False)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -7,10 +7,10 @@
 
 from wisteriapulley.consensus import HardState, Log, Members, Record, Snapshot, Storage
 from wisteriapulley.consensus.files import Files
-from wisteriapulley.consensus.frames import HEADER, pack_mark
+from wisteriapulley.consensus.frames import HEADER, pack_sync_mark
 from wisteriapulley.errors import ResultCode, StorageError
 
-MARK_BYTES = len(pack_mark(0))
+MARK_BYTES = len(pack_sync_mark(0))
 MEMBERS = Members({"a": "disk-a"})
 
 
@@ -121,9 +121,9 @@
     def noted(self, folder):
         storage = Storage.open(folder)
         storage.save(HardState(1, "a"), (record(1), record(2)))
-        storage.note_committed(1)
+        storage.record_committed_index(1)
         storage.save(None, (record(3),))
-        storage.note_committed(3)
+        storage.record_committed_index(3)
         storage.close()
         return folder / "log"
 
@@ -202,7 +202,7 @@
         storage.close()
         storage = Storage.open(str(tmp_path))
         assert storage.read_snapshot() == b"state"
-        assert storage.snapshot_part(1, 3) == b"tat"
+        assert storage.read_snapshot_part(1, 3) == b"tat"
         assert storage.snapshot[:3] == (4, 1, MEMBERS)
         assert [r.index for r in storage.log.records] == [4, 5, 6]
         assert storage.hard_state == HardState(2, "b")
