--- a/src/wisteriapulley/consensus/__init__.py
+++ b/src/wisteriapulley/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated log: a pure replica and its durable storage."""
+"""Replicated log (Raft): a replica without I/O and its durable storage."""
 
 from wisteriapulley.consensus.log import Log
 from wisteriapulley.consensus.replica import Replica
--- a/src/wisteriapulley/consensus/base.py
+++ b/src/wisteriapulley/consensus/base.py
@@ -1,4 +1,4 @@
-"""What every part of a replica shares: its state, its log and its outbox."""
+"""Base class of a Raft replica: its state, its log and its outbox."""
 
 import random
 
@@ -19,33 +19,34 @@
 from wisteriapulley.wire.messages import AppendRequest, SnapshotPart
 
 NEVER_MS = float("-inf")
-# Of an election timeout, the least that a replica waits after its start: time for
-# its links to open.
+# Minimum delay of the first pre-vote after a start, as a fraction of the election
+# timeout. Gives the links to the other replicas time to open.
 FIRST_PRE_VOTE_DELAY_FRACTION = 0.15
-# The same for votes in force, which wait for a sync of each voter's disk.
+# The same for real votes, which take longer: each voter syncs its disk first.
 FIRST_VOTE_DELAY_FRACTION = 0.5
-# Of an election timeout, over which those that start together spread.
+# Random extra delay, as a fraction of the election timeout, so that replicas that
+# start together do not split the vote.
 FIRST_ELECTION_JITTER_FRACTION = 0.3
 
 
 class Progress:
-    """What a leader knows of one follower.
+    """Replication state that a leader keeps for one follower.
 
     Parameters
     ----------
     next_index : int
-        First record to send.
+        Index of the next record to send.
 
     Attributes
     ----------
     identity : str
-        Disk that `match_index` speaks of.
+        Identity of the disk that `match_index` applies to.
     match_index : int
-        How far that disk's synced log matches.
+        Last index up to which that disk's synced log matches the leader's.
     inflight : list of int
-        Last index of each append that is not yet answered.
+        Last index of each append that is not yet acknowledged.
     acked_round : int
-        Newest round that was answered.
+        Newest round that the follower acknowledged.
     """
 
     def __init__(self, next_index: int):
@@ -60,30 +61,31 @@
         self.part_sent_ms = NEVER_MS
 
     def record_match(self, index: int) -> None:
-        """Note that the log matches up to `index`."""
+        """Record that the follower's log matches up to `index`."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
         self.inflight = [last for last in self.inflight if last > index]
 
     def retry_from(self, index: int) -> None:
-        """Send again from `index`, but nothing that matches already."""
+        """Resend from `index`, skipping the records that already match."""
         self.next_index = max(index, self.match_index + 1)
         self.inflight = []
 
 
 class ReplicaBase:
-    """State of one member of the quorum; `Replica` says what it does.
+    """State of one member of the quorum; see `Replica` for its behaviour.
 
     Parameters
     ----------
     node_id : str
-        This member.
+        Node id of this member.
     identity : str
         Identity of its disk.
     members : Members
-        Configuration before the first record, or the snapshot's.
+        Configuration before the first record. Ignored if there is a snapshot, which
+        has its own.
     hard_state : HardState
-        As last synced.
+        Last synced hard state.
     log : Log
         The synced log.
     snapshot : SnapshotInfo
@@ -91,19 +93,19 @@
     timing : Timing
         Timeouts.
     rng : random.Random
-        Spreads elections; seeded in tests.
+        Randomizes election timeouts; seeded in tests.
     now_ms : float
-        The monotonic clock's reading now.
+        Current reading of the monotonic clock, in milliseconds.
     started_ms : float, optional
-        Its reading when the process started; now, if it is not known.
+        Reading of the same clock when the process started; `now_ms` by default.
     committed : int, default=0
         Index up to which the log was known to be committed before the start.
 
     Attributes
     ----------
     desired_voters : int
-        How many disks vote; further ones learn, and take the place of a voter
-        that falls silent. 0 lets every disk vote.
+        Number of disks that should vote. Further disks are learners and replace a
+        voter that becomes unresponsive. With 0, every disk votes.
     """
 
     def __init__(
@@ -157,9 +159,9 @@
         self.configurations: list[tuple[int, Members]] = [(start, base)]
         for record in self.log.between(start + 1, self.log.last_index):
             self.adopt_members(record)
-        # A restart forgets when the leader was heard, but the leader may hold
-        # a lease on this replica's word, given at the latest when the process
-        # started: it counts as heard then.
+        # The time of the last message from the leader is lost in a restart, but the
+        # leader may still hold a lease that this replica acknowledged before. The
+        # latest possible time of that acknowledgement is the start of the process.
         started_ms = now_ms if started_ms is None else started_ms
         self.leader_contact_ms = started_ms if self.term else NEVER_MS
         self.has_seen_leader = False
@@ -169,11 +171,11 @@
             self.schedule_early_election()
         self.refresh_role()
 
-    # -- what others read ------------------------------------------------
+    # -- public state ----------------------------------------------------
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica holds the leader role."""
+        """Whether this replica is the leader."""
         return self.role.state == "leader"
 
     @property
@@ -183,12 +185,12 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether this disk votes or learns in the newest configuration."""
+        """Whether this disk is a voter or learner in the newest configuration."""
         return self.members.holds(self.node_id, self.identity)
 
     @property
     def is_voter(self) -> bool:
-        """Whether this disk votes in the newest configuration."""
+        """Whether this disk is a voter in the newest configuration."""
         return self.members.voters.get(self.node_id) == self.identity
 
     @property
@@ -201,55 +203,60 @@
         """Term of the last record."""
         return self.log.last_term
 
-    # -- shared by the parts ---------------------------------------------
+    # -- shared by the subclasses ----------------------------------------
 
     def reset_election_timeout(self) -> None:
-        """Start a new random election timeout."""
+        """Start a new randomized election timeout."""
         if self.is_voter and len(self.members.voters) == 1:
-            # Nobody else can lead, so there is nobody to wait for.
+            # The only voter need not wait for another leader.
             self.election_at_ms = self.now_ms
             return
-        spread = 1 + self.rng.random()
-        self.election_at_ms = self.now_ms + self.timing.election_ms * spread
+        factor = 1 + self.rng.random()
+        self.election_at_ms = self.now_ms + self.timing.election_ms * factor
 
     def schedule_early_election(
         self, delay_fraction: float = FIRST_PRE_VOTE_DELAY_FRACTION
     ) -> None:
-        """Ask for votes soon after a start, long before a whole timeout.
-
-        After a loss of all instances nobody leads, and a whole timeout would pass
-        on top of the start. The others started at about the same time and give no
-        vote before a lease on their word has ended, so asking sooner is in vain.
-        Where somebody leads, a request for a pre-vote is refused and changes
-        nothing.
+        """Schedule an election soon after a start, before a full election timeout.
+
+        After an outage of all instances there is no leader, and a full timeout would
+        add to the restart time. The other instances started at about the same time
+        and refuse votes until any lease that they acknowledged has expired, so the
+        election is not scheduled before that. If there is a leader, the pre-vote is
+        refused and has no effect.
+
+        Parameters
+        ----------
+        delay_fraction : float
+            Minimum delay from now, as a fraction of the election timeout.
         """
-        first_ms = self.now_ms + self.timing.election_ms * delay_fraction
-        free_ms = self.leader_contact_ms + self.timing.election_ms
-        spread_ms = (
+        earliest_ms = self.now_ms + self.timing.election_ms * delay_fraction
+        lease_end_ms = self.leader_contact_ms + self.timing.election_ms
+        jitter_ms = (
             self.timing.election_ms * FIRST_ELECTION_JITTER_FRACTION * self.rng.random()
         )
         self.election_at_ms = min(
-            self.election_at_ms, max(first_ms, free_ms) + spread_ms
+            self.election_at_ms, max(earliest_ms, lease_end_ms) + jitter_ms
         )
 
     def suspend(self) -> None:
-        """Take no part any more: no vote, no lead, no acknowledgement.
+        """Stop taking part: no votes, no leadership, no acknowledgements.
 
-        What is in memory may be newer than the disk, so a replica that is read
-        from the disk again takes its place.
+        The state in memory may be newer than the state on the disk, so this replica
+        can't resume: a new one that is read from the disk replaces it.
         """
         self.leader = ""
         self.role.fire("suspend")
 
     def refresh_role(self) -> None:
-        """Be a learner exactly while this disk has no vote."""
+        """Switch between learner and follower as this disk gains or loses its vote."""
         if self.is_voter and self.role.state == "learner":
             self.role.fire("promote")
         elif not self.is_voter and self.role.state == "follower":
             self.role.fire("learn")
 
     def step_down(self) -> None:
-        """Leave the leader's or candidate's role."""
+        """Become a follower if this replica is leader or candidate."""
         if self.role.state in ("leader", "candidate"):
             self.role.fire("step_down")
         self.leader = ""
@@ -259,19 +266,20 @@
         self.refresh_role()
 
     def store(self, record: Record) -> None:
-        """Put a record at its index, cutting what stood there and after.
+        """Store a record at its index and truncate the log from that index on.
 
         Raises
         ------
         StorageError
-            A committed record would be cut: the sender's cluster is another.
+            IDENTITY_MISMATCH: a committed record would be overwritten, so the sender
+            belongs to another cluster.
         """
         if record.index <= self.commit_index:
             raise StorageError(
                 ResultCode.IDENTITY_MISMATCH,
-                f"expected nothing below the committed index {self.commit_index} to"
-                f" change, got record {record.index} of term {record.term}: two"
-                " clusters were founded; empty the newer one's folders and join",
+                f"expected no change up to the committed index {self.commit_index},"
+                f" got record {record.index} of term {record.term}: two clusters were"
+                " founded; empty the data folders of the newer one and join",
             )
         self.log.put(record)
         self.synced_index = min(self.synced_index, record.index - 1)
@@ -284,24 +292,24 @@
         self.refresh_role()
 
     def adopt_members(self, record: Record) -> None:
-        """Use a configuration as soon as it stands in the log."""
+        """Apply a configuration as soon as it is in the log, committed or not."""
         if record.kind == RecordKind.MEMBERS:
             members = msgspec.msgpack.decode(record.data, type=Members)
             self.configurations.append((record.index, members))
 
     def peer_ids(self) -> list[str]:
-        """Return every node id that a leader sends to."""
+        """Return the node ids of all other voters and learners."""
         return [node for node in self.members.node_ids() if node != self.node_id]
 
     def other_voters(self) -> list[str]:
-        """Return every other voter."""
+        """Return the node ids of all other voters."""
         return [node for node in self.members.voters if node != self.node_id]
 
     def send(self, node_id: str, message: tuple) -> None:
-        """Queue a message until the state it speaks of is synced."""
+        """Queue a message; `Replica.ready` decides whether it waits for a sync."""
         self.outbox.append((node_id, message))
 
 
 def can_send_before_sync(message: tuple) -> bool:
-    """Tell whether a message acknowledges nothing, so needs no sync before."""
+    """Return whether a message acknowledges nothing and so need not wait for a sync."""
     return isinstance(message, AppendRequest | SnapshotPart)
--- a/src/wisteriapulley/consensus/election.py
+++ b/src/wisteriapulley/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, votes by disk identity, leases and handing over."""
+"""Raft elections: pre-vote, votes by disk identity, lease, leadership transfer."""
 
 from wisteriapulley.consensus.base import (
     FIRST_PRE_VOTE_DELAY_FRACTION,
@@ -12,15 +12,20 @@
 
 
 class Election(ReplicaBase):
-    """How a replica gains, proves and gives up the lead."""
+    """How a replica becomes leader, holds its lease and gives up leadership."""
 
     def lease_left_ms(self, now_ms: float) -> float:
-        """Return how long this leader's lease still holds; 0 without one.
+        """Return the remaining time of this leader's lease; 0 without one.
 
-        The lease starts when the round that a majority answered was sent.
-        Followers that answered refuse votes for `election_ms`, which is longer
-        than `lease_ms`, so nobody else leads before it ends. `now_ms` is read
-        by the caller at the moment of use: after a freeze it shows the lapse.
+        The lease starts when the newest round that a majority acknowledged was sent.
+        Followers that acknowledged it refuse votes for `election_ms`, which is longer
+        than `lease_ms`, so no other leader is elected before the lease expires.
+
+        Parameters
+        ----------
+        now_ms : float
+            The monotonic clock, read when the lease is used. With an older reading, a
+            process that was frozen would take an expired lease for a valid one.
         """
         if not self.is_leader or self.transferring_leadership:
             return 0.0
@@ -31,29 +36,30 @@
         return max(0.0, self.quorum_contact_ms + self.timing.lease_ms - now_ms)
 
     def has_recent_leader(self) -> bool:
-        """Tell whether a leader spoke within the shortest election timeout."""
+        """Return whether a leader was heard from within the election timeout."""
         if self.is_leader:
             return True
         return self.now_ms - self.leader_contact_ms < self.timing.election_ms
 
     def adopt_term(self, term: int) -> None:
-        """Follow a higher term."""
+        """Adopt a higher term and step down."""
         self.term = term
         self.voted_for = ""
         self.step_down()
 
     def campaign(self, pre_vote: bool, transfer: bool = False) -> None:
-        """Ask for votes; first whether they would be given."""
+        """Request votes, or pre-votes that ask whether voters would grant them."""
         self.reset_election_timeout()
         if not self.is_voter:
             return
         if not self.has_seen_leader:
-            # One that started later refuses until its own wait is over, and two
-            # that ask at the same moment share the votes.
-            share = (
+            # Retry soon: a voter that started later refuses until any lease that it
+            # may have acknowledged has expired, and two candidates at the same time
+            # split the vote.
+            fraction = (
                 FIRST_PRE_VOTE_DELAY_FRACTION if pre_vote else FIRST_VOTE_DELAY_FRACTION
             )
-            self.schedule_early_election(share)
+            self.schedule_early_election(fraction)
         self.role.fire("campaign")
         self.leader = ""
         self.pre_voting = pre_vote
@@ -75,7 +81,7 @@
         self.count_votes()
 
     def count_votes(self) -> None:
-        """Move on when a majority agreed."""
+        """Start the real vote or become leader once a majority has agreed."""
         if len(self.votes) < self.members.quorum_size():
             return
         if self.pre_voting:
@@ -84,7 +90,7 @@
             self.become_leader()
 
     def become_leader(self) -> None:
-        """Take the lead: open the term with an empty record."""
+        """Become leader and start the term with an empty record."""
         self.role.fire("win")
         self.leader = self.node_id
         self.has_seen_leader = True
@@ -101,7 +107,7 @@
         self.broadcast()
 
     def check_quorum(self) -> None:
-        """Step down when a majority has been silent for an election timeout."""
+        """Step down if no majority has responded for an election timeout."""
         if len(self.members.voters) == 1 and self.is_voter:
             return
         last = max(self.quorum_contact_ms, self.elected_ms)
@@ -109,7 +115,7 @@
             self.step_down()
 
     def update_quorum_contact(self) -> None:
-        """Renew the lease from the newest round that a majority answered."""
+        """Renew the lease from the newest round that a majority acknowledged."""
         rounds = sorted(map(self.acked_round_of, self.other_voters()), reverse=True)
         needed = self.members.quorum_size() - 1
         if len(rounds) >= needed > 0:
@@ -118,39 +124,40 @@
                 self.quorum_contact_ms = max(self.quorum_contact_ms, sent)
 
     def acked_round_of(self, node_id: str) -> int:
-        """Return the newest round that a voter's own disk answered."""
+        """Return the newest round that a voter acknowledged with its current disk."""
         progress = self.progress.get(node_id)
         if progress is None or progress.identity != self.members.voters[node_id]:
             return 0
         return progress.acked_round
 
-    # -- handing over ----------------------------------------------------
+    # -- leadership transfer ---------------------------------------------
 
     def transfer_leadership(self) -> bool:
-        """Ask the voter that holds the whole log to take the lead at once.
+        """Ask a voter that has the complete log to campaign at once.
 
-        The lease ends first: what this leader told others on its strength holds
-        no longer than the lease that it had, and it grants nothing more.
+        This leader steps down and so gives up its lease before the request is sent.
+        Whatever it granted under the lease expires with the lease at the latest, and
+        it grants nothing more.
 
         Returns
         -------
         bool
-            Whether one was asked. If not, call again after the next round.
+            Whether a voter was asked. If not, call again after the next round.
         """
         if not self.is_leader or self.commit_index < self.last_index:
             return False
-        heirs = [
+        successors = [
             n for n in self.other_voters() if self.match_index_of(n) == self.last_index
         ]
-        if not heirs:
+        if not successors:
             return False
-        heir = max(heirs, key=self.acked_round_of)
-        self.send(heir, TimeoutNow(self.term, self.node_id))
+        successor = max(successors, key=self.acked_round_of)
+        self.send(successor, TimeoutNow(self.term, self.node_id))
         self.step_down()
         return True
 
     def handle_timeout_now(self, message: TimeoutNow) -> None:
-        """Campaign at once, as the leader asks."""
+        """Campaign at once on the request of the current leader."""
         if message.term == self.term and self.role.state == "follower":
             self.campaign(pre_vote=False, transfer=True)
 
@@ -159,9 +166,10 @@
     def handle_vote_request(self, message: VoteRequest) -> None:
         """Grant or refuse a vote.
 
-        Whoever asks: a replica that lags may not know a new member yet. The
-        candidate counts only the votes of identities in its own configuration,
-        so the vote of an emptied disk under an old name counts nowhere.
+        The candidate need not be a member in this replica's configuration: a replica
+        that lags may not have the record that added it. The candidate counts only votes
+        of disk identities in its own configuration, so the vote of an emptied disk
+        under an old node id is never counted.
         """
         up_to_date = (message.last_term, message.last_index) >= (
             self.last_term,
@@ -186,7 +194,7 @@
         )
 
     def handle_vote_reply(self, message: VoteReply) -> None:
-        """Count a vote."""
+        """Count a granted vote; adopt the higher term of a refused pre-vote."""
         if message.pre_vote and not message.granted and message.term > self.term:
             self.adopt_term(message.term)
             return
--- a/src/wisteriapulley/consensus/files.py
+++ b/src/wisteriapulley/consensus/files.py
@@ -1,6 +1,6 @@
-"""The few file operations of the storage, each with its own error.
+"""File operations of the storage; each failure raises a coded error.
 
-Tests replace `Files` to make any of them fail.
+Tests replace `Files` to make single operations fail.
 """
 
 import errno
@@ -14,20 +14,21 @@
 log = logging.getLogger(__name__)
 
 DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
-# Written to see whether a full disk has room again: more than a batch of records.
+# File written to test whether a full disk has free space again; larger than a batch of
+# records.
 PROBE_NAME = "room"
 PROBE_BYTES = 1 << 16
 
 
 class Files:
-    """Writes and syncs; every failure is a `StorageError`."""
+    """Write and sync files; a failed write or sync raises a `StorageError`."""
 
     def write(self, descriptor: int, data: bytes) -> int:
-        """Write once; return how many bytes the system took."""
+        """Write once; return the number of bytes written."""
         return os.write(descriptor, data)
 
     def fsync(self, descriptor: int) -> None:
-        """Sync a file or folder."""
+        """Sync the file or folder of a descriptor."""
         os.fsync(descriptor)
 
     def write_all(self, path: Path, descriptor: int, data: bytes) -> None:
@@ -36,46 +37,46 @@
         Raises
         ------
         NoRoomError
-            DISK_FULL: some of the bytes may stand behind what was synced.
+            DISK_FULL: a part of the data may follow the synced data.
         StorageError
-            FSYNC_FAILED: what the file holds is unknown.
+            FSYNC_FAILED: the content of the file is unknown.
         """
-        rest = memoryview(data)
+        remaining = memoryview(data)
         try:
-            while rest:
-                rest = rest[self.write(descriptor, rest) :]
+            while remaining:
+                remaining = remaining[self.write(descriptor, remaining) :]
         except OSError as error:
             raise write_error(path, "writing", error) from error
 
     def truncate(self, path: Path, size: int) -> None:
-        """Cut a file.
+        """Truncate a file to `size` bytes.
 
         Raises
         ------
         NoRoomError, StorageError
-            As `write_all`.
+            As for `write_all`.
         """
         try:
             os.truncate(path, size)
         except OSError as error:
-            raise write_error(path, "cutting", error) from error
+            raise write_error(path, "truncating", error) from error
 
     def has_free_space(self, folder: Path) -> bool:
-        """Try whether a folder's disk takes a write again."""
+        """Test whether the disk of a folder accepts writes."""
         probe = folder / PROBE_NAME
         try:
             probe.write_bytes(bytes(PROBE_BYTES))
             probe.unlink()
         except OSError as error:
-            log.info("no room yet: %s: %s", probe, error)
+            log.info("disk still full: %s: %s", probe, error)
             return False
         return True
 
     def sync(self, path: Path, descriptor: int) -> None:
-        """Sync a file; it is never tried twice.
+        """Sync a file; a failed sync must not be retried.
 
-        The kernel may drop the pages of a failed sync and report success the
-        next time, so after a failure nothing may be acknowledged any more.
+        After a failed sync the kernel may drop the dirty pages and report success the
+        next time, so nothing more may be acknowledged.
 
         Raises
         ------
@@ -90,7 +91,7 @@
             raise StorageError(code, f"{path}: fsync: {error}") from error
 
     def sync_folder(self, folder: Path) -> None:
-        """Sync a folder, so that names in it last."""
+        """Sync a folder, so that its directory entries are durable."""
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             self.sync(folder, descriptor)
@@ -98,24 +99,24 @@
             os.close(descriptor)
 
     def replace(self, path: Path, data: bytes) -> None:
-        """Put a file in place whole: write new, sync, rename, sync folder."""
-        fresh = path.with_name(f"{path.name}.new")
-        descriptor = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        """Replace a file atomically: write and sync a new file, rename, sync folder."""
+        new_path = path.with_name(f"{path.name}.new")
+        descriptor = os.open(new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
-            self.write_all(fresh, descriptor, data)
-            self.sync(fresh, descriptor)
+            self.write_all(new_path, descriptor, data)
+            self.sync(new_path, descriptor)
         finally:
             os.close(descriptor)
-        os.rename(fresh, path)
+        os.rename(new_path, path)
         self.sync_folder(path.parent)
 
     def lock(self, path: Path) -> int:
-        """Lock a file for as long as this process lives.
+        """Lock a file until its descriptor is closed or the process ends.
 
         Raises
         ------
         StorageError
-            Another process holds it.
+            FOLDER_LOCKED: another process holds the lock.
         """
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -130,21 +131,21 @@
         return descriptor
 
 
-def write_error(path: Path, what: str, error: OSError) -> StorageError:
-    """Make the error for a write that failed."""
-    text = f"{path}: {what}: {error}"
+def write_error(path: Path, operation: str, error: OSError) -> StorageError:
+    """Return the error for a failed write."""
+    text = f"{path}: {operation}: {error}"
     if error.errno in DISK_FULL_ERRNOS:
         return NoRoomError(ResultCode.DISK_FULL, text)
     return StorageError(ResultCode.FSYNC_FAILED, text)
 
 
 class VolatileFiles(Files):
-    """Files of a temporary folder, which ends with its process.
+    """File operations in a temporary folder that is deleted with the process.
 
-    Nothing there outlives a crash, so nothing is synced, and a file is written in
-    its place: a temporary folder of the platform takes no renames. It takes no
-    locks either, and needs none: the process made the folder under a name of its
-    own. An instance that asked for the lock ended at its start, again and again.
+    The data does not outlive a crash, so nothing is synced. Files are written in place,
+    because the temporary folder of the platform does not support renames. It does not
+    support locks either: an instance that requested one failed at every start. No lock
+    is needed, because the process created the folder under a unique name.
     """
 
     def fsync(self, descriptor: int) -> None:
@@ -154,7 +155,7 @@
         """Sync nothing."""
 
     def replace(self, path: Path, data: bytes) -> None:
-        """Write a file in its place."""
+        """Overwrite a file in place."""
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
             self.write_all(path, descriptor, data)
@@ -162,5 +163,5 @@
             os.close(descriptor)
 
     def lock(self, path: Path) -> int:
-        """Open the lock file without a lock."""
+        """Open the lock file without locking it."""
         return os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
--- a/src/wisteriapulley/consensus/frames.py
+++ b/src/wisteriapulley/consensus/frames.py
@@ -1,8 +1,7 @@
-"""Frames of the storage's files: two checksums, a length and a kind.
+"""Frames of the storage files: two checksums, a length, a kind and a payload.
 
-A frame is ``header crc32 | payload crc32 | length | kind | payload``. The
-header has its own checksum, so that a flipped length is not taken for a frame
-that was cut short.
+A frame is ``header crc32 | payload crc32 | length | kind | payload``. The header has
+its own checksum, so that a corrupted length is not taken for a torn write.
 """
 
 import struct
@@ -13,10 +12,11 @@
 HEADER = struct.Struct("<IIIB")
 UINT64 = struct.Struct("<Q")
 CRC_BYTES = 4
-# Disks write whole sectors: one that a crash kept from the disk reads as zeros.
+# Disks write complete sectors; a sector that was not written before a crash reads as
+# zeros.
 SECTOR_BYTES = 512
-# Bytes that never reached the disk also read as zeros within a sector, where a
-# write is torn at any byte: so many in a row are no accident of a payload.
+# Writes may also be torn at any byte within a sector; the missing bytes read as zeros.
+# A run of this length does not occur in a payload by chance.
 ZERO_RUN = bytes(8)
 
 KIND_HARD_STATE = 1
@@ -28,7 +28,7 @@
 
 
 class ScannedFrame(NamedTuple):
-    """A whole frame of a file and where it ends."""
+    """A complete frame of a file and the offset of its end."""
 
     kind: int
     payload: bytes
@@ -36,23 +36,23 @@
 
 
 def pack(kind: int, payload: bytes) -> bytes:
-    """Pack one frame."""
+    """Encode one frame."""
     header = HEADER.pack(0, zlib.crc32(payload), len(payload), kind)[CRC_BYTES:]
     return zlib.crc32(header).to_bytes(CRC_BYTES, "little") + header + payload
 
 
 def pack_sync_mark(offset: int) -> bytes:
-    """Pack the mark that every byte before `offset` was synced."""
+    """Encode the mark that all bytes before `offset` are synced."""
     return pack(KIND_SYNCED, UINT64.pack(offset))
 
 
 def pack_committed_index(index: int) -> bytes:
-    """Pack the note that every record up to `index` is committed."""
+    """Encode the commit index: all records up to `index` are committed."""
     return pack(KIND_COMMITTED, UINT64.pack(index))
 
 
 def frame_at(data: bytes, offset: int) -> ScannedFrame | None:
-    """Read the frame at `offset`; None when it is not whole and right."""
+    """Read the frame at `offset`; return None if it is incomplete or invalid."""
     if offset + HEADER.size > len(data):
         return None
     header_crc, payload_crc, length, kind = HEADER.unpack_from(data, offset)
@@ -66,7 +66,7 @@
 
 
 def scan(data: bytes) -> Iterator[ScannedFrame]:
-    """Yield whole frames up to the first that is not."""
+    """Yield the frames up to the first incomplete or invalid one."""
     offset = 0
     while (frame := frame_at(data, offset)) is not None:
         yield frame
@@ -74,7 +74,7 @@
 
 
 def is_marked_synced(data: bytes, offset: int) -> bool:
-    """Tell whether a mark after `offset` says that `offset` was synced."""
+    """Return whether a sync mark after `offset` covers the byte at `offset`."""
     pattern = HEADER.pack(0, 0, UINT64.size, KIND_SYNCED)[2 * CRC_BYTES :]
     found = data.find(pattern, offset)
     while found >= 0:
@@ -86,10 +86,10 @@
 
 
 def is_torn_write(data: bytes, offset: int) -> bool:
-    """Tell whether the bytes from `offset` look like an unfinished write.
+    """Return whether the bytes from `offset` on look like a torn write.
 
-    An append that a crash cut ends early, or lacks sectors, which read as
-    zeros. Bytes that are all there but wrong were damaged later.
+    An append that a crash interrupted is either too short or has missing sectors, which
+    read as zeros. Data that is complete but wrong was corrupted later.
     """
     if offset + HEADER.size > len(data):
         return True
--- a/src/wisteriapulley/consensus/log.py
+++ b/src/wisteriapulley/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: the records after a base that a snapshot covers."""
+"""The log in memory: the records after a base index covered by a snapshot."""
 
 from collections.abc import Iterable
 
@@ -11,9 +11,9 @@
     Parameters
     ----------
     base_index, base_term : int
-        Of the last record that was dropped; 0 when none was.
+        Index and term of the last dropped record; 0 if none was dropped.
     records : iterable of Record
-        What follows.
+        Records after the base.
     """
 
     def __init__(
@@ -34,25 +34,25 @@
         return self.records[-1].term if self.records else self.base_term
 
     def holds(self, index: int, term: int) -> bool:
-        """Tell whether the log knows that `index` has `term`."""
-        known = self.base_index <= index <= self.last_index
-        return known and self.term_at(index) == term
+        """Return whether the record at `index` is in the log and has `term`."""
+        in_range = self.base_index <= index <= self.last_index
+        return in_range and self.term_at(index) == term
 
     def term_at(self, index: int) -> int:
-        """Return the term at `index`, which is in the log or its base."""
+        """Return the term at `index`, which must be in the log or its base."""
         if index == self.base_index:
             return self.base_term
         return self.records[index - self.base_index - 1].term
 
     def between(self, first: int, last: int) -> list[Record]:
-        """Return the records from `first` to `last`, both included."""
+        """Return the records from `first` to `last` inclusive."""
         start = max(first, self.base_index + 1) - self.base_index - 1
         return self.records[start : max(start, last - self.base_index)]
 
     def batch(self, first: int, max_records: int, max_bytes: int) -> tuple[Record, ...]:
-        """Return records from `first` on, within a count and a size.
+        """Return records from `first` on, limited in number and total size.
 
-        One record that alone is larger than `most_bytes` still goes.
+        The first record is returned even if it is larger than `max_bytes`.
         """
         records = self.between(first, first + max_records - 1)
         size = 0
@@ -63,19 +63,19 @@
         return tuple(records)
 
     def put(self, record: Record) -> None:
-        """Put a record at its index, cutting what stood there and after."""
+        """Store a record at its index and drop all records from that index on."""
         del self.records[record.index - self.base_index - 1 :]
         self.records.append(record)
 
     def compact(self, index: int) -> None:
-        """Drop the records up to `index`, which is in the log."""
+        """Drop the records up to `index`, which must be in the log."""
         if index > self.base_index:
             self.base_term = self.term_at(index)
             del self.records[: index - self.base_index]
             self.base_index = index
 
     def reset(self, index: int, term: int) -> None:
-        """Restart after a snapshot; records that follow it stay."""
+        """Set the base to a snapshot; keep the records that follow it."""
         if self.holds(index, term):
             self.compact(index)
         else:
--- a/src/wisteriapulley/consensus/membership.py
+++ b/src/wisteriapulley/consensus/membership.py
@@ -1,8 +1,8 @@
-"""Membership changes: one at a time, and through a learner.
+"""Membership changes, one at a time; new disks join as learners.
 
-A disk joins as a learner and gets a vote only once it holds every committed
-record synced. A replaced disk learns first, then the lost disk loses its vote,
-then the new one gets it: see docs/design/control-quorum.md.
+A learner becomes a voter only after it has synced every committed record. When a disk
+is replaced, the new disk first joins as a learner, then the lost disk loses its vote,
+then the new one becomes a voter: see docs/design/control-quorum.md.
 """
 
 import msgspec
@@ -11,20 +11,20 @@
 from wisteriapulley.consensus.types import OBSERVER_PREFIX, Members, RecordKind
 from wisteriapulley.wire.messages import JoinRequest
 
-# A voter that answered nothing for so long gives its place to a learner: twice
-# the longest election timeout, so that a new leader has heard everyone by then.
+# A learner replaces a voter that has not responded for this time. It is twice the
+# longest election timeout, so that every live voter has responded to a new leader.
 VOTER_UNRESPONSIVE_AFTER_MS = 4000.0
 
 
 class Membership(Replication):
-    """How a leader changes who takes part."""
+    """How a leader changes the members of the cluster."""
 
     def can_change_members(self) -> bool:
-        """Tell whether a change may be appended now.
+        """Return whether a membership change may be appended now.
 
-        Two majorities overlap only if their configurations differ by one
-        voter: the last change must be committed first. A new leader may not
-        know that it is until a record of its own term is committed.
+        The majorities of two configurations overlap only if they differ by one voter,
+        so the previous change must be committed first. A new leader can't be sure of
+        that before a record of its own term is committed.
         """
         return (
             self.is_leader
@@ -34,10 +34,15 @@
         )
 
     def change_members(self, members: Members) -> int | None:
-        """Append a configuration, in use at once, if its majority answers now.
+        """Append a configuration if a majority of its voters is responsive.
 
-        Without that check a change made while others are away could leave the
-        quorum smaller than what is needed to commit the change itself.
+        The configuration takes effect at once. Without the check, a change made while
+        voters are unreachable could leave too few of them to commit the change itself.
+
+        Returns
+        -------
+        int or None
+            Index of the record, or None if no majority is responsive.
         """
         alive = sum(map(self.is_responsive, members.voters))
         if alive < members.quorum_size():
@@ -49,7 +54,7 @@
         return index
 
     def is_responsive(self, node_id: str) -> bool:
-        """Tell whether a node id answered within an election timeout."""
+        """Return whether a node acknowledged a round of the last election timeout."""
         if node_id == self.node_id:
             return True
         progress = self.progress.get(node_id)
@@ -57,12 +62,12 @@
         return sent is not None and self.now_ms - sent < self.timing.election_ms
 
     def remove_member(self, node_id: str) -> int | None:
-        """Take a member out for good.
+        """Remove a member permanently.
 
         Returns
         -------
         int or None
-            Index of the change, or None when none may be made now: ask again.
+            Index of the change, or None if it can't be made now; try again later.
         """
         members = self.members
         if not self.can_change_members() or node_id == self.node_id:
@@ -74,13 +79,13 @@
         return None
 
     def handle_join_request(self, message: JoinRequest) -> None:
-        """Remember a disk that asks to join; `manage_members` takes it in."""
+        """Record a disk that asks to join; `manage_members` adds it."""
         refused = message.identity in self.members.removed
         if self.is_leader and not refused and message.node_id != self.node_id:
             self.join_requests[message.node_id] = message.identity
 
     def manage_members(self) -> None:
-        """Make the next change that is due, if one may be made."""
+        """Append the next membership change that is due, if one is allowed now."""
         if not self.can_change_members():
             return
         for node_id, identity in tuple(self.members.learners.items()):
@@ -99,11 +104,12 @@
                 return
 
     def should_promote(self, node_id: str) -> bool:
-        """Tell whether a learner is to vote.
+        """Return whether a learner should become a voter.
 
-        A learner takes the place of a voter only when that one is silent, so
-        that a full set of voters that answer never changes. An instance without
-        a disk of its own never votes: a restart forgets what it agreed to.
+        With the desired number of voters, a learner replaces a voter only if that one
+        has been unresponsive for long, so that a responsive set of voters never
+        changes. An instance without durable storage never votes, because a restart
+        loses its votes and acknowledgements.
         """
         if self.members.learners[node_id].startswith(OBSERVER_PREFIX):
             return False
@@ -117,22 +123,22 @@
         )
 
     def is_replaceable(self, node_id: str) -> bool:
-        """Tell whether a voter has not answered for `VOTER_UNRESPONSIVE_AFTER_MS`."""
+        """Return whether a voter is unresponsive for long enough to be replaced."""
         if node_id == self.node_id:
             return False
         progress = self.progress.get(node_id)
         sent = self.round_sent_ms.get(progress.acked_round) if progress else None
-        heard_ms = self.elected_ms if sent is None else max(sent, self.elected_ms)
-        return self.now_ms - heard_ms > VOTER_UNRESPONSIVE_AFTER_MS
+        contact_ms = self.elected_ms if sent is None else max(sent, self.elected_ms)
+        return self.now_ms - contact_ms > VOTER_UNRESPONSIVE_AFTER_MS
 
     def demote_extra_voter(self) -> None:
-        """Take the vote of a silent voter, or else of the last one by name."""
+        """Demote an unresponsive voter, or else the last one by node id."""
         others = sorted(self.other_voters())
-        silent = [node_id for node_id in others if self.is_replaceable(node_id)]
-        self.change_members(self.members.demoted((silent or others)[-1]))
+        unresponsive = [node_id for node_id in others if self.is_replaceable(node_id)]
+        self.change_members(self.members.demoted((unresponsive or others)[-1]))
 
     def has_all_committed_records(self, node_id: str, identity: str) -> bool:
-        """Tell whether a learner's disk has synced every committed record."""
+        """Return whether a learner's disk has synced every committed record."""
         progress = self.progress.get(node_id)
         return (
             progress is not None
@@ -141,14 +147,14 @@
         )
 
     def promote(self, node_id: str) -> None:
-        """Give a learner its vote; a lost disk of its name loses its own first."""
+        """Make a learner a voter; first remove the old disk of its node id, if any."""
         if node_id in self.members.voters:
             self.change_members(self.members.without_voter(node_id))
         else:
             self.change_members(self.members.promoted(node_id))
 
     def add_learner(self, node_id: str, identity: str) -> None:
-        """Take a disk in as a learner; a learner that it replaces goes first."""
+        """Add a disk as a learner; first remove an earlier learner of its node id."""
         if node_id in self.members.learners:
             self.change_members(self.members.without_learner(node_id))
             self.join_requests[node_id] = identity
--- a/src/wisteriapulley/consensus/replication.py
+++ b/src/wisteriapulley/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Replication: appends in flight, what is committed, and snapshots sent."""
+"""Raft log replication: appends in flight, the commit index, and snapshots."""
 
 import msgspec
 
@@ -19,30 +19,30 @@
     SnapshotReply,
 )
 
-# One append: what a follower syncs at once, far below the frame limit.
+# Limits of one append, which a follower syncs at once; far below the frame limit.
 MAX_RECORDS_PER_APPEND = 512
 MAX_APPEND_BYTES = 1 << 20
-# Appends to one follower that are not yet answered: enough to fill a link with
-# a few milliseconds of latency, and at most 16 MB that wait for a stalled one.
+# Unacknowledged appends per follower: enough to fill a link with a few milliseconds
+# of latency, and at most 16 MB of memory for a stalled follower.
 MAX_INFLIGHT_APPENDS = 16
-# Rounds whose sending time is remembered: more than go out in one lease.
+# Rounds whose send time is kept: more than are sent during one lease.
 MAX_TRACKED_ROUNDS = 4096
-# Records kept behind a snapshot, for followers that lag a little: they get
-# these rather than the whole state.
+# Records kept in the log although a snapshot covers them, so that a follower that
+# lags a little gets records instead of the complete state.
 RECORDS_KEPT_BEHIND_SNAPSHOT = 256
 
 
 class Replication(Election):
-    """How records and snapshots reach the others."""
+    """How a leader sends records and snapshots, and how followers receive them."""
 
     def append(self, kind: RecordKind, data: bytes) -> int:
-        """Append a record of this term to the own log."""
+        """Append a record of the current term to this leader's log."""
         record = Record(self.term, self.last_index + 1, int(kind), data)
         self.store(record)
         return record.index
 
     def broadcast(self) -> None:
-        """Send every follower what it lacks, as a new round."""
+        """Start a new round: send every follower a heartbeat or its missing records."""
         self.round += 1
         self.round_sent_ms[self.round] = self.now_ms
         self.round_sent_ms.pop(self.round - MAX_TRACKED_ROUNDS, None)
@@ -51,18 +51,18 @@
             self.send_append(node_id, heartbeat=True)
 
     def progress_of(self, node_id: str) -> Progress:
-        """Return what is known of a follower; a new one starts at the end."""
+        """Return the progress of a follower; a new one starts at the end of the log."""
         if node_id not in self.progress:
             self.progress[node_id] = Progress(self.last_index + 1)
         return self.progress[node_id]
 
     def send_append(self, node_id: str, heartbeat: bool = False) -> bool:
-        """Send one follower the records after its `next_index`.
+        """Send one follower the records from its `next_index` on.
 
         Returns
         -------
         bool
-            Whether records went.
+            Whether the message held records.
         """
         progress = self.progress_of(node_id)
         first = progress.next_index
@@ -81,7 +81,7 @@
         return bool(records)
 
     def append_request(self, first: int, records: tuple[Record, ...]) -> AppendRequest:
-        """Make an append of `records` from index `first` on."""
+        """Build the append message for `records`, which start at index `first`."""
         return AppendRequest(
             self.term,
             self.node_id,
@@ -93,7 +93,7 @@
         )
 
     def advance_commit(self) -> None:
-        """Commit what a majority has synced, if it is of this term."""
+        """Commit the records that a majority has synced, if of the current term."""
         if not self.is_leader:
             return
         matches = sorted(map(self.match_index_of, self.members.voters), reverse=True)
@@ -102,7 +102,7 @@
             self.commit_index = index
 
     def match_index_of(self, node_id: str) -> int:
-        """Return how far a voter's synced log matches; its own disk counts."""
+        """Return the last synced matching index of a voter; may be this replica."""
         if node_id == self.node_id:
             return self.synced_index if self.is_voter else 0
         progress = self.progress.get(node_id)
@@ -110,10 +110,10 @@
             return 0
         return progress.match_index
 
-    # -- a follower's side -----------------------------------------------
+    # -- follower --------------------------------------------------------
 
     def follow_leader(self, leader: str) -> None:
-        """Note that the leader of this term spoke."""
+        """Record a message from the leader of the current term."""
         if self.role.state == "candidate":
             self.step_down()
         self.leader = leader
@@ -122,12 +122,12 @@
         self.reset_election_timeout()
 
     def handle_append_request(self, message: AppendRequest) -> None:
-        """Take records in, or say from where they are needed."""
+        """Store the records of an append, or reply from where to resend."""
         if message.term < self.term:
             self.reply_append(message, False, 0)
             return
         if self.is_leader:
-            # One leader a term in one cluster: the sender's is another one.
+            # A term has one leader per cluster, so the sender is in another cluster.
             return
         self.follow_leader(message.leader)
         previous = message.previous_index
@@ -137,7 +137,8 @@
         if previous >= self.log.base_index and not self.log.holds(
             previous, message.previous_term
         ):
-            # Everything committed matches, so the leader need not probe.
+            # Committed records always match, so the leader can resend from there
+            # instead of probing backwards.
             self.reply_append(message, False, self.commit_index)
             return
         for item in message.records:
@@ -150,7 +151,7 @@
         self.reply_append(message, True, match)
 
     def reply_append(self, message: AppendRequest, success: bool, index: int) -> None:
-        """Answer an append with the matching index, or a hint where to retry."""
+        """Reply to an append with the matching index or a hint where to resend."""
         self.send(
             message.leader,
             AppendReply(
@@ -165,7 +166,7 @@
         )
 
     def handle_snapshot_part(self, message: SnapshotPart) -> None:
-        """Collect a part of a snapshot; install it when it is whole."""
+        """Collect a part of a snapshot and install the snapshot once it is complete."""
         held = 0
         if message.term >= self.term and not self.is_leader:
             self.follow_leader(message.leader)
@@ -183,7 +184,7 @@
         )
 
     def collect_snapshot_part(self, message: SnapshotPart) -> int:
-        """Keep a part that follows on; return how many bytes are held."""
+        """Append the next part to the buffer; return the number of bytes received."""
         if message.last_index <= self.commit_index:
             return message.total
         key = (message.last_index, message.last_term, message.total)
@@ -198,7 +199,7 @@
         return held
 
     def install_snapshot(self, message: SnapshotPart, data: bytes) -> None:
-        """Put a whole snapshot in place of the log up to it."""
+        """Replace the log up to a complete snapshot by the snapshot."""
         members = msgspec.msgpack.decode(message.members, type=Members)
         self.installed_snapshot = Snapshot(
             message.last_index, message.last_term, members, data
@@ -219,15 +220,15 @@
         )
         self.refresh_role()
 
-    # -- the leader's side -----------------------------------------------
+    # -- leader ----------------------------------------------------------
 
     def record_reply(self, node_id: str, identity: str, round: int) -> Progress | None:
-        """Note an answer; None when the disk is not one of the members."""
+        """Record the round of a reply; return None if the disk is not a member."""
         if not self.members.holds(node_id, identity):
             return None
         progress = self.progress_of(node_id)
         if progress.identity != identity:
-            # Another disk under the name: what the first one held is no guide.
+            # The node id has a new disk, so the progress of the old one is void.
             progress = self.progress[node_id] = Progress(self.last_index + 1)
             progress.identity = identity
         progress.acked_round = max(progress.acked_round, round)
@@ -235,7 +236,7 @@
         return progress
 
     def handle_append_reply(self, message: AppendReply) -> None:
-        """Note how far a follower is, and send what it lacks."""
+        """Record the progress of a follower and send it the missing records."""
         if not self.is_leader or message.term != self.term:
             return
         progress = self.record_reply(message.follower, message.identity, message.round)
@@ -250,10 +251,11 @@
         self.advance_commit()
 
     def send_snapshot(self, node_id: str, progress: Progress) -> None:
-        """Send the next part of the newest snapshot, one in flight.
+        """Send the next part of the newest snapshot, one part at a time.
 
-        An unanswered part goes again with the next heartbeat. The driver fills
-        in the bytes, so that no snapshot stands in memory.
+        An unacknowledged part is sent again with the next heartbeat. The message has
+        no data: the driver reads the bytes from the disk, so that the snapshot is
+        not kept in memory.
         """
         info = self.snapshot
         if progress.snapshot_index != info.last_index:
@@ -280,7 +282,7 @@
         )
 
     def handle_snapshot_reply(self, message: SnapshotReply) -> None:
-        """Send the next part, or the records after a whole snapshot."""
+        """Send the next part, or the records that follow a completed snapshot."""
         if not self.is_leader or message.term != self.term:
             return
         progress = self.record_reply(message.follower, message.identity, message.round)
@@ -295,17 +297,17 @@
         self.send_append(message.follower)
 
     def compact(self, data: bytes) -> Snapshot:
-        """Replace the records that are applied by a snapshot of the state.
+        """Replace the applied records by a snapshot of the state.
 
         Parameters
         ----------
         data : bytes
-            The state after `applied_index`.
+            The encoded state as of `applied_index`.
 
         Returns
         -------
         Snapshot
-            To sync before the log file is cut.
+            Must be synced before the log file is truncated.
         """
         index = self.applied_index
         members = [m for at, m in self.configurations if at <= index][-1]
--- a/src/wisteriapulley/consensus/setup.py
+++ b/src/wisteriapulley/consensus/setup.py
@@ -1,4 +1,4 @@
-"""Data folders of control instances: the founding one and those that join."""
+"""Set up the data folders of founding and joining control instances."""
 
 from wisteriapulley.consensus.files import Files
 from wisteriapulley.consensus.storage import (
@@ -11,7 +11,9 @@
 
 
 def init_folder(settings: ControlSettings) -> DiskIdentity:
-    """Found a cluster of this one voter, once in the fleet's life.
+    """Create the folder of a new cluster with this instance as its only voter.
+
+    Run this once in the lifetime of a fleet; all other instances join.
 
     Raises
     ------
@@ -26,7 +28,7 @@
 
 
 def join_folder(settings: ControlSettings) -> DiskIdentity:
-    """Make the folder of an instance that joins a cluster as a learner.
+    """Create the folder of an instance that joins a cluster as a learner.
 
     Raises
     ------
@@ -40,6 +42,6 @@
 def write_new_identity(
     settings: ControlSettings, identity: DiskIdentity
 ) -> DiskIdentity:
-    """Write an identity into the data folder."""
+    """Write `identity` to the data folder and return it."""
     write_identity(settings.data_folder, identity, Files())
     return identity
--- a/src/wisteriapulley/consensus/storage.py
+++ b/src/wisteriapulley/consensus/storage.py
@@ -1,9 +1,9 @@
 """Durable state of a control instance: identity, snapshot and log.
 
-Everything is synced before it is acknowledged, voted or applied. After each
-sync the log gets a mark, itself not synced, that says how far the file was
-synced: damage before the mark is damage, not an unfinished write, and stops
-the start. See docs/design/control-quorum.md, "Storage".
+Data is synced before it is acknowledged, voted for or applied. After each sync, a sync
+mark is appended to the log without a sync; it records how far the file was synced. At
+the start, invalid data before a mark is corruption and not a torn write, so the
+instance refuses to start. See docs/design/control-quorum.md, "Storage".
 """
 
 import contextlib
@@ -33,17 +33,17 @@
 
 
 class DiskIdentity(msgspec.Struct, frozen=True):
-    """Whose folder this is.
+    """Identity of a data folder.
 
     Attributes
     ----------
     node_id : str
-        The control instance.
+        Node id of the control instance.
     identity : str
-        Identity of this disk, made once.
+        Identity of this disk, generated once.
     members : Members
-        Configuration that the log starts from: only itself for the founder,
-        nobody for a disk that joins.
+        Initial configuration of the log: only this disk for the founding instance,
+        empty for a disk that joins.
     """
 
     node_id: str
@@ -52,7 +52,7 @@
 
 
 def new_identity() -> str:
-    """Make the identity of a new disk."""
+    """Generate the identity of a new disk."""
     return secrets.token_hex(8)
 
 
@@ -62,15 +62,15 @@
     Raises
     ------
     StorageError
-        The folder holds state of a control instance already.
+        IDENTITY_MISMATCH: the folder already holds the state of a control instance.
     """
     home = Path(folder)
     for name in (IDENTITY_NAME, LOG_NAME, SNAPSHOT_NAME):
         if (home / name).exists():
             raise StorageError(
                 ResultCode.IDENTITY_MISMATCH,
-                f"{home / name}: expected an empty folder, got one that is in use;"
-                " start the instance, or empty the folder and join",
+                f"{home / name}: expected an empty data folder, got one in use; start"
+                " the instance, or empty the folder and join",
             )
     files.replace(home / IDENTITY_NAME, msgspec.json.encode(identity))
 
@@ -81,7 +81,7 @@
     Raises
     ------
     StorageError
-        The folder has none, so it never was initialised here.
+        DATA_FOLDER_MISSING: the folder has no identity, so it is not initialised.
     """
     path = Path(folder) / IDENTITY_NAME
     try:
@@ -89,13 +89,13 @@
     except (OSError, msgspec.DecodeError) as error:
         raise StorageError(
             ResultCode.DATA_FOLDER_MISSING,
-            f"{path}: expected an identity; run `wisteriapulley control init` on the"
-            " founding instance, `control join` on any other",
+            f"{path}: expected an identity file; run `wisteriapulley control init` on"
+            " the founding instance, `control join` on any other",
         ) from error
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True):
-    """First frame of the snapshot file; the state's bytes follow it."""
+    """First frame of the snapshot file; the bytes of the state follow it."""
 
     last_index: int
     last_term: int
@@ -105,7 +105,7 @@
 
 
 class LogBase(msgspec.Struct, frozen=True, array_like=True):
-    """First frame of a log file that was cut: what it follows."""
+    """First frame of a truncated log file: index and term of the record before it."""
 
     index: int
     term: int
@@ -117,23 +117,23 @@
     Parameters
     ----------
     folder : str
-        The data folder.
+        Path of the data folder.
     files : Files
         File operations.
 
     Attributes
     ----------
     hard_state : HardState
-        As last synced.
+        Last synced hard state.
     log : Log
-        The records, as found at the start; the replica goes on with it.
+        The records found at the start. The replica takes over this object.
     snapshot : SnapshotInfo or None
         The newest snapshot.
     committed : int
-        Index up to which the log is known to be committed. It is noted without
-        a sync, so it may be older than what was known before a loss of power.
+        Index up to which the log is known to be committed. It is written without a
+        sync, so an older value may be found after a power failure.
     appended_bytes : int
-        Bytes written since the log was last cut.
+        Bytes written since the log was last truncated.
     """
 
     def __init__(self, folder: str, files: Files):
@@ -154,13 +154,13 @@
 
     @classmethod
     def open(cls, folder: str, files: Files | None = None) -> "Storage":
-        """Lock the folder, read it, cut a torn tail, and open for appending.
+        """Lock and read the folder, drop a torn tail, and open the log to append.
 
         Raises
         ------
         StorageError
-            Another process is in the folder; the snapshot or the log is
-            damaged; or the disk fails.
+            Another process uses the folder, the snapshot or the log is damaged, or the
+            disk fails.
         """
         storage = cls(folder, files or Files())
         storage.lock_descriptor = storage.files.lock(storage.folder / LOCK_NAME)
@@ -172,13 +172,13 @@
             raise
         return storage
 
-    # -- the start -------------------------------------------------------
+    # -- start -----------------------------------------------------------
 
     def open_to_append(self) -> None:
-        """Read the log and open it; without room it can only be read.
+        """Read the log and open it to append; on a full disk, only read it.
 
-        A full disk then is a `failure` from the start: nothing is saved, and the
-        instance goes on with what is synced.
+        A full disk sets `failure` from the start: nothing is saved, and the instance
+        continues with the synced state.
         """
         try:
             self.recover()
@@ -187,29 +187,29 @@
             self.failure = error
 
     def has_free_space(self) -> bool:
-        """Tell whether the disk takes writes again after it was full."""
+        """Return whether the disk, after it was full, accepts writes again."""
         return self.files.has_free_space(self.folder)
 
     def read_snapshot(self) -> bytes:
-        """Read and check the snapshot; return the state's bytes."""
+        """Read and verify the snapshot; return the bytes of the state."""
         if not self.snapshot_path.exists():
             return b""
         content = self.snapshot_path.read_bytes()
         frame = frames.frame_at(content, 0)
         if frame is None or frame.kind != frames.KIND_SNAPSHOT:
             raise self.damage_error(self.snapshot_path, 0)
-        head = msgspec.msgpack.decode(frame.payload, type=SnapshotHeader)
+        header = msgspec.msgpack.decode(frame.payload, type=SnapshotHeader)
         data = content[frame.end :]
-        if len(data) != head.total or zlib.crc32(data) != head.crc:
+        if len(data) != header.total or zlib.crc32(data) != header.crc:
             raise self.damage_error(self.snapshot_path, frame.end)
         self.snapshot = SnapshotInfo(
-            head.last_index, head.last_term, head.members, head.total
+            header.last_index, header.last_term, header.members, header.total
         )
         self.snapshot_offset = frame.end
         return data
 
     def recover(self) -> None:
-        """Replay the log file; cut what an unfinished write left."""
+        """Replay the log file and truncate a torn write at its end."""
         data = self.path.read_bytes() if self.path.exists() else b""
         end = 0
         for frame in frames.scan(data):
@@ -226,7 +226,7 @@
             self.files.truncate(self.path, end)
 
     def replay(self, kind: int, payload: bytes) -> None:
-        """Take one frame of the log file in."""
+        """Apply one frame of the log file to the state in memory."""
         if kind == frames.KIND_HARD_STATE:
             self.hard_state = msgspec.msgpack.decode(payload, type=HardState)
         elif kind == frames.KIND_BASE:
@@ -245,18 +245,18 @@
             self.log.put(record)
 
     def align_log_with_snapshot(self) -> None:
-        """Let the log follow the snapshot, which may be newer after a crash."""
+        """Make the log start at the snapshot, which may be newer after a crash."""
         if self.snapshot is not None:
             if not self.log.holds(self.snapshot.last_index, self.snapshot.last_term):
                 self.log = Log(self.snapshot.last_index, self.snapshot.last_term)
         elif self.log.base_index:
             raise StorageError(
                 ResultCode.LOG_DAMAGED,
-                f"{self.snapshot_path}: expected the snapshot that the log follows",
+                f"{self.snapshot_path}: expected a snapshot up to the base of the log",
             )
 
     def open_log(self) -> None:
-        """Open for appending; what was found is synced before it is used."""
+        """Open the log to append; sync the data found in it before it is used."""
         self.descriptor = os.open(
             self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600
         )
@@ -265,14 +265,14 @@
         self.write_sync_mark()
 
     def damage_error(self, path: Path, offset: int) -> StorageError:
-        """Make the error for damage that no unfinished write explains."""
+        """Return the error for invalid data that is not a torn write."""
         return StorageError(
             ResultCode.LOG_DAMAGED,
-            f"{path}: checksum fails at byte {offset}, in data that was synced;"
+            f"{path}: checksum mismatch at byte {offset} in data that was synced;"
             " replace the disk and rejoin: docs/operators/lost-disk.md",
         )
 
-    # -- running ---------------------------------------------------------
+    # -- operation -------------------------------------------------------
 
     def save(
         self,
@@ -280,21 +280,21 @@
         records: tuple[Record, ...],
         grouped: bool = True,
     ) -> None:
-        """Append and sync; returns only when all lasts.
+        """Append to the log and sync; return only when everything is durable.
 
         Parameters
         ----------
         hard_state : HardState or None
-            To save, when it changed.
+            To save, if it changed.
         records : tuple of Record
             To append.
         grouped : bool
-            Whether all share one sync, rather than a sync each.
+            Whether to sync once for everything instead of once per item.
 
         Raises
         ------
         StorageError
-            The disk is full or failed; nothing may be acknowledged any more.
+            The disk is full or failed; nothing more may be acknowledged.
         """
         parts = []
         if hard_state is not None:
@@ -311,33 +311,33 @@
                 self.write_sync_mark()
 
     def record_committed_index(self, index: int) -> None:
-        """Write, without a sync, how far the log is committed.
+        """Write the commit index to the log without a sync.
 
-        Load: all instances are killed and start again. Harm prevented: without the
-        note, what the log holds counts as committed only once a leader has been
-        elected and heard, half a second later, and until then entries know no
-        route and engines no version that they may serve.
+        After all instances were killed and started again, each one can apply the log up
+        to this index at once. Without it, records would count as committed only after
+        the election of a leader and its first message, half a second later; until
+        then entries would have no routes and engines no version to serve.
         """
         with self.stop_after_failure():
-            note = frames.pack_committed_index(index)
-            self.files.write_all(self.path, self.descriptor, note)
-            self.log_size += len(note)
+            frame = frames.pack_committed_index(index)
+            self.files.write_all(self.path, self.descriptor, frame)
+            self.log_size += len(frame)
             self.committed = index
 
     def write_sync_mark(self) -> None:
-        """Write, without a sync, how far the file is synced."""
+        """Write a mark for the synced size of the file, without a sync."""
         mark = frames.pack_sync_mark(self.log_size)
         self.files.write_all(self.path, self.descriptor, mark)
         self.log_size += len(mark)
 
     @contextlib.contextmanager
     def stop_after_failure(self):
-        """Let nothing be saved after a failure.
+        """Guard a write: after the first failure, every further write fails too.
 
         Raises
         ------
         StorageError
-            This operation failed, or an earlier one did.
+            This write or an earlier one failed.
         """
         if self.failure is not None:
             raise self.failure
@@ -353,19 +353,19 @@
     def save_snapshot(
         self, snapshot: Snapshot, hard_state: HardState, log: Log
     ) -> None:
-        """Put a snapshot in place, then cut the log to what follows its base.
+        """Write a snapshot, then truncate the log to the records after its base.
 
-        A crash in between leaves a snapshot newer than the log's base, which
-        `join_snapshot` joins.
+        After a crash in between, the snapshot is newer than the base of the log;
+        `align_log_with_snapshot` handles this at the next start.
         """
-        head = SnapshotHeader(
+        header = SnapshotHeader(
             snapshot.last_index,
             snapshot.last_term,
             snapshot.members,
             len(snapshot.data),
             zlib.crc32(snapshot.data),
         )
-        start = frames.pack(frames.KIND_SNAPSHOT, msgspec.msgpack.encode(head))
+        start = frames.pack(frames.KIND_SNAPSHOT, msgspec.msgpack.encode(header))
         base = LogBase(log.base_index, log.base_term)
         parts = [frames.pack(frames.KIND_BASE, msgspec.msgpack.encode(base))]
         parts.append(pack_hard_state(hard_state))
@@ -384,13 +384,13 @@
         self.appended_bytes = 0
 
     def read_snapshot_part(self, offset: int, max_bytes: int) -> bytes:
-        """Read bytes of the snapshot's state, to send them."""
+        """Read up to `max_bytes` of the state in the snapshot, from `offset` on."""
         with open(self.snapshot_path, "rb") as file:
             file.seek(self.snapshot_offset + offset)
             return file.read(max_bytes)
 
     def close(self) -> None:
-        """Close the log and let go of the folder."""
+        """Close the log and unlock the folder."""
         for descriptor in (self.descriptor, self.lock_descriptor):
             if descriptor >= 0:
                 os.close(descriptor)
@@ -398,10 +398,10 @@
 
 
 def pack_hard_state(hard_state: HardState) -> bytes:
-    """Pack the frame of a hard state."""
+    """Encode a hard state as a frame."""
     return frames.pack(frames.KIND_HARD_STATE, msgspec.msgpack.encode(hard_state))
 
 
 def pack_record(record: Record) -> bytes:
-    """Pack the frame of a record."""
+    """Encode a record as a frame."""
     return frames.pack(frames.KIND_RECORD, msgspec.msgpack.encode(record))
--- a/src/wisteriapulley/consensus/types.py
+++ b/src/wisteriapulley/consensus/types.py
@@ -1,18 +1,18 @@
-"""Data of the replicated log."""
+"""Data types of the replicated log."""
 
 from enum import IntEnum
 from typing import NamedTuple
 
 import msgspec
 
-# Identities of removed disks that the configuration remembers, newest last. A
-# removed instance that still asks to join is refused while it stands here; the
-# operator has long switched it off by the time that 64 others were removed.
+# Removed disk identities that a configuration keeps, newest last. A removed instance
+# that still asks to join is refused while its identity is kept; operators have stopped
+# it long before 64 more disks are removed.
 MAX_REMOVED = 64
 
 
 class RecordKind(IntEnum):
-    """What a log record holds."""
+    """Kind of a log record."""
 
     EMPTY = 0
     COMMAND = 1
@@ -29,30 +29,30 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """What must be synced before a vote or an acknowledgement leaves."""
+    """State that must be synced before a vote or an acknowledgement is sent."""
 
     term: int = 0
     voted_for: str = ""
 
 
-# Identities of disks that never vote: what they sync is gone with the process.
+# Identity prefix of disks that never vote: their data does not outlive the process.
 OBSERVER_PREFIX = "observer-"
 
 
 class Members(msgspec.Struct, frozen=True):
-    """Who takes part: disk identity by node id.
+    """Configuration of the cluster: disk identities by node id.
 
-    A node id may stand on both sides at once while a replaced disk catches up:
-    the lost disk as a voter, the new one as a learner.
+    While a replaced disk catches up, its node id is in both groups: the lost disk is
+    the voter, the new one the learner.
 
     Attributes
     ----------
     voters : dict
-        Node id to disk identity; these make quorums.
+        Node id to disk identity of the disks that form quorums.
     learners : dict
-        Node id to disk identity; these copy the log and don't vote.
+        Node id to disk identity of the disks that replicate the log without a vote.
     removed : tuple of str
-        Disk identities that must not come back.
+        Disk identities that may not join again.
     """
 
     voters: dict[str, str]
@@ -60,49 +60,49 @@
     removed: tuple[str, ...] = ()
 
     def node_ids(self) -> tuple[str, ...]:
-        """Return the node ids of voters and learners, each once."""
+        """Return the node ids of all voters and learners without duplicates."""
         return tuple(dict.fromkeys((*self.voters, *self.learners)))
 
     def quorum_size(self) -> int:
-        """Return how many voters make a majority."""
+        """Return the number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def holds(self, node_id: str, identity: str) -> bool:
-        """Tell whether this disk votes or learns under `node_id`."""
+        """Return whether this disk is the voter or learner of `node_id`."""
         return identity in (self.voters.get(node_id), self.learners.get(node_id))
 
     def with_learner(self, node_id: str, identity: str) -> "Members":
-        """Return members with a learner more."""
+        """Return a configuration with one more learner."""
         learners = {**self.learners, node_id: identity}
         return msgspec.structs.replace(self, learners=learners)
 
     def promoted(self, node_id: str) -> "Members":
-        """Return members in which a learner votes."""
+        """Return a configuration in which the learner is a voter."""
         voters = {**self.voters, node_id: self.learners[node_id]}
         learners = {k: v for k, v in self.learners.items() if k != node_id}
         return msgspec.structs.replace(self, voters=voters, learners=learners)
 
     def demoted(self, node_id: str) -> "Members":
-        """Return members in which a voter only learns; its disk stays known."""
+        """Return a configuration in which the voter is a learner on the same disk."""
         voters = {k: v for k, v in self.voters.items() if k != node_id}
         learners = {**self.learners, node_id: self.voters[node_id]}
         return msgspec.structs.replace(self, voters=voters, learners=learners)
 
     def without_voter(self, node_id: str) -> "Members":
-        """Return members without a voter; its disk may not come back."""
+        """Return a configuration without the voter; its disk may not join again."""
         voters = {k: v for k, v in self.voters.items() if k != node_id}
         removed = (*self.removed, self.voters[node_id])[-MAX_REMOVED:]
         return msgspec.structs.replace(self, voters=voters, removed=removed)
 
     def without_learner(self, node_id: str) -> "Members":
-        """Return members without a learner; its disk may not come back."""
+        """Return a configuration without the learner; its disk may not join again."""
         learners = {k: v for k, v in self.learners.items() if k != node_id}
         removed = (*self.removed, self.learners[node_id])[-MAX_REMOVED:]
         return msgspec.structs.replace(self, learners=learners, removed=removed)
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """State after `last_index`, in place of the records up to it."""
+    """State after `last_index`, which replaces the records up to it."""
 
     last_index: int
     last_term: int
@@ -111,7 +111,7 @@
 
 
 class SnapshotInfo(NamedTuple):
-    """A snapshot on the disk, without its bytes; `total` counts them."""
+    """Description of a snapshot on the disk; `total` is its size in bytes."""
 
     last_index: int
     last_term: int
@@ -120,7 +120,7 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: Snapshot) -> "SnapshotInfo":
-        """Describe a snapshot."""
+        """Return the description of a snapshot."""
         return cls(
             snapshot.last_index,
             snapshot.last_term,
@@ -132,9 +132,10 @@
 class Timing(NamedTuple):
     """Timeouts of a replica, in milliseconds.
 
-    A lease counts from when the leader sent, the voters' patience from when
-    they heard, so `lease_ms` below `election_ms` is margin for clocks that run
-    at different speeds: 700 in 1000 bears a clock that runs 30 % slow.
+    A lease starts when the leader sends a round; the election timeout of a voter starts
+    when it receives it. The difference between `lease_ms` and `election_ms` is the
+    margin for clocks of different speed: 700 of 1000 tolerates a clock that is 30 %
+    slow.
     """
 
     election_ms: int = 1000
@@ -143,20 +144,21 @@
 
 
 class Ready(NamedTuple):
-    """Effects of a step, in the order they must happen.
+    """Effects of a step, in the order in which the driver must carry them out.
 
     Attributes
     ----------
-    early : tuple of (str, tuple)
-        Receiver and message that may leave before the sync: a leader's records
-        under a term that is synced already.
+    early_messages : tuple of (str, tuple)
+        Receiver and message, to send before the sync: a leader's records in a term
+        that is already synced.
     hard_state : HardState or None
-        To sync, when it changed.
+        To sync, if it changed.
     records : tuple of Record
-        To append and sync; one at or below the last index cuts the tail first.
+        To append and sync. A record at or below the last index first truncates the
+        log from that index on.
     snapshot : Snapshot or None
-        Received from the leader; to sync and to restore, in place of the log.
-    messages : tuple of (str, tuple)
+        Received from the leader, to sync and restore; it replaces the log.
+    late_messages : tuple of (str, tuple)
         Receiver and message, to send after the sync.
     """
 
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -104,7 +104,7 @@
 
     def truncate(self, path, size):
         if self.full:
-            raise write_error(path, "cutting", OSError(errno.ENOSPC, "full"))
+            raise write_error(path, "truncating", OSError(errno.ENOSPC, "full"))
         super().truncate(path, size)
 
     def has_free_space(self, folder):
