--- a/src/wisteriapulley/catalogue/__init__.py
+++ b/src/wisteriapulley/catalogue/__init__.py
@@ -1,4 +1,4 @@
-"""What should exist: entries, their validation, and accepted changes."""
+"""Desired state of the fleet: entries, their validation, and accepted changes."""
 
 from wisteriapulley.catalogue.catalogue import Catalogue
 from wisteriapulley.catalogue.changes import Change, ChangeResult, Delete, Put, diff
--- a/src/wisteriapulley/catalogue/catalogue.py
+++ b/src/wisteriapulley/catalogue/catalogue.py
@@ -1,4 +1,4 @@
-"""The accepted catalogue: a pure state machine that the log drives."""
+"""The accepted catalogue: a state machine without I/O, driven by the log."""
 
 from collections.abc import Iterator
 
@@ -15,23 +15,23 @@
 from wisteriapulley.catalogue.entry import Entry, entry_errors, service_errors
 from wisteriapulley.errors import CatalogueError, ResultCode
 
-# Load: 640 changes a day; these hold the resends and history of three days, in
-# about 1 MB. A resend that comes later still meets the revisions it was made
-# against, so it is refused rather than accepted twice.
+# Accepted changes that are kept, to show the history and to recognise resends: three
+# days at 640 changes a day, about 1 MB. A later resend is refused instead of accepted
+# twice, because the revisions that it was based on have been superseded.
 HISTORY_LENGTH = 2_000
 
 
 class ChangeRecord(msgspec.Struct, frozen=True):
-    """History of one accepted change.
+    """One accepted change, kept for the history and to recognise resends.
 
     Attributes
     ----------
     names : tuple of str
-        Entries that it put or deleted.
+        Names of the entries that it put or deleted.
     digest : str
-        Of the change, to tell a resend from a clash.
+        Digest of the change, to tell a resend from another change with the same id.
     content : bytes
-        The entries as accepted then, encoded.
+        The accepted entries, encoded.
     """
 
     revision: int
@@ -42,14 +42,14 @@
     content: bytes = b""
 
     def accepted(self) -> tuple[Entry, ...]:
-        """Return the entries that this change put."""
+        """Decode the entries that this change put."""
         if not self.content:
             return ()
         return msgspec.msgpack.decode(self.content, type=tuple[Entry, ...])
 
 
 class HistoryRow(msgspec.Struct, frozen=True):
-    """One accepted change as operators read it."""
+    """One accepted change in the form that operators receive."""
 
     revision: int
     change_id: str
@@ -59,14 +59,14 @@
 
 
 class CatalogueImage(msgspec.Struct, frozen=True):
-    """What watchers receive: the revision and every entry."""
+    """The revision and all entries, as sent to watchers."""
 
     revision: int
     entries: dict[str, Stored]
 
 
 class Catalogue:
-    """Accepted entries under one growing revision."""
+    """Accepted entries and a revision that grows with each change."""
 
     def __init__(self):
         self.revision = 0
@@ -74,17 +74,17 @@
         self.history: dict[str, ChangeRecord] = {}
 
     def apply(self, change: Change) -> ChangeResult:
-        """Accept or refuse a change; a resend gets its first result.
+        """Accept or refuse a change; return the original result for a resend.
 
         Parameters
         ----------
         change : Change
-            An atomic change: all of it is accepted, or none.
+            An atomic change: accepted as a whole or not at all.
 
         Returns
         -------
         ChangeResult
-            With code OK, or the reason and what was accepted instead.
+            With code OK, or the reason and the entries that are accepted instead.
         """
         earlier = self.history.get(change.change_id)
         if earlier is not None:
@@ -97,33 +97,33 @@
         return self.accept(change, entries)
 
     def resend_result(self, change: Change, earlier: ChangeRecord) -> ChangeResult:
-        """Answer a change id that was used before."""
+        """Return the result for a change id that was used before."""
         if earlier.digest == change.digest():
             return ChangeResult(ResultCode.OK, earlier.revision)
         names = ", ".join(earlier.names)
         message = (
-            f"change id {change.change_id!r} accepted other content at revision"
-            f" {earlier.revision}, of {names}; send this under a new change id"
+            f"change id {change.change_id!r} was used for other content at revision"
+            f" {earlier.revision}, of {names}; send this change with a new change id"
         )
         return ChangeResult(
             ResultCode.CHANGE_ID_CONFLICT, self.revision, message, earlier.accepted()
         )
 
     def check_change(self, change: Change) -> None:
-        """Refuse a malformed change, and one whose bases no longer stand.
+        """Refuse a malformed change and one whose base revisions are superseded.
 
         Raises
         ------
         CatalogueError
             CATALOGUE_ENTRY_INVALID, NOT_OWNER or REVISION_CONFLICT.
         """
-        for fault in change_errors(change):
-            raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, fault)
+        for message in change_errors(change):
+            raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, message)
         for item in (*change.puts, *change.deletes):
             self.check_base(item, change.owner)
 
     def check_base(self, item: Put | Delete, owner: str) -> None:
-        """Refuse a put or delete of another owner or of an older revision."""
+        """Refuse a put or delete with a wrong owner or a superseded base revision."""
         stored = self.entries.get(item.name)
         if stored is not None and stored.entry.owner != owner:
             raise CatalogueError(
@@ -134,12 +134,18 @@
         if current != item.base_revision:
             raise CatalogueError(
                 ResultCode.REVISION_CONFLICT,
-                f"{item.name}: expected revision {item.base_revision}, stands at"
-                f" {current}",
+                f"{item.name}: expected revision {item.base_revision}, but the"
+                f" accepted revision is {current}",
             )
 
     def candidate_entries(self, change: Change) -> dict[str, Stored]:
-        """Build and check the entries as the change would leave them."""
+        """Return the entries with the change applied, after validating them.
+
+        Raises
+        ------
+        CatalogueError
+            NOT_OWNER or CATALOGUE_ENTRY_INVALID.
+        """
         entries = dict(self.entries)
         for delete in change.deletes:
             entries.pop(delete.name, None)
@@ -149,17 +155,17 @@
                     ResultCode.NOT_OWNER,
                     f"{put.name}: owner is {put.entry.owner!r}, not {change.owner!r}",
                 )
-            for fault in entry_errors(put.entry):
+            for message in entry_errors(put.entry):
                 raise CatalogueError(
-                    ResultCode.CATALOGUE_ENTRY_INVALID, f"{put.name}: {fault}"
+                    ResultCode.CATALOGUE_ENTRY_INVALID, f"{put.name}: {message}"
                 )
             entries[put.name] = Stored(put.entry, self.revision + 1)
-        for fault in service_errors(stored.entry for stored in entries.values()):
-            raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, fault)
+        for message in service_errors(stored.entry for stored in entries.values()):
+            raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, message)
         return entries
 
     def accept(self, change: Change, entries: dict[str, Stored]) -> ChangeResult:
-        """Take the change in under the next revision."""
+        """Accept the change as the next revision."""
         self.revision += 1
         self.entries = entries
         self.history[change.change_id] = ChangeRecord(
@@ -175,19 +181,19 @@
         return ChangeResult(ResultCode.OK, self.revision)
 
     def refusal(self, error: CatalogueError, change: Change) -> ChangeResult:
-        """Refuse, saying what stands under the names concerned."""
-        standing = tuple(
+        """Return a refusal with the accepted entries of the names in the change."""
+        accepted = tuple(
             self.entries[name].entry for name in change.names if name in self.entries
         )
-        return ChangeResult(int(error.code), self.revision, error.message, standing)
+        return ChangeResult(int(error.code), self.revision, error.message, accepted)
 
     def image(self) -> CatalogueImage:
-        """Return what watchers receive."""
+        """Return the image that is sent to watchers."""
         return CatalogueImage(self.revision, dict(self.entries))
 
 
 def history_rows(catalogue: Catalogue) -> Iterator[HistoryRow]:
-    """Yield the accepted changes, oldest first."""
+    """Yield the accepted changes from oldest to newest."""
     for record in catalogue.history.values():
         yield HistoryRow(
             record.revision,
@@ -199,7 +205,7 @@
 
 
 def entries_by_service(image: CatalogueImage) -> dict[str, list[Entry]]:
-    """Group the entries of an image by service, in name order."""
+    """Group the entries of an image by service, sorted by name."""
     grouped: dict[str, list[Entry]] = {}
     for name in sorted(image.entries):
         entry = image.entries[name].entry
--- a/src/wisteriapulley/catalogue/changes.py
+++ b/src/wisteriapulley/catalogue/changes.py
@@ -1,4 +1,4 @@
-"""Changes that operators send, their outcomes, and the diff that makes them."""
+"""Changes sent by operators, their results, and the diff that generates them."""
 
 import re
 from collections.abc import Iterator
@@ -12,7 +12,7 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Accept `entry` if its stored revision still is `base_revision`.
+    """Store `entry` if the accepted revision is still `base_revision`.
 
     `base_revision` is 0 for an entry that must not exist yet.
     """
@@ -27,23 +27,23 @@
 
 
 class Delete(msgspec.Struct, frozen=True):
-    """Remove the entry `name` if its revision still is `base_revision`."""
+    """Remove the entry `name` if its accepted revision is still `base_revision`."""
 
     name: str
     base_revision: int
 
 
 class Change(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One atomic change.
+    """One atomic change of the catalogue.
 
     Attributes
     ----------
     change_id : str
-        The operator's number for this change; a resend bears the same.
+        Id that the operator chose for this change; the same in a resend.
     owner : str
-        Whose token sent it.
+        Owner of the token that it was sent with.
     puts, deletes : tuple
-        What is to stand, or to go.
+        Entries to store and to remove.
     """
 
     change_id: str
@@ -53,28 +53,28 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Names of all entries concerned."""
+        """Names of all entries in the change."""
         return tuple(item.name for item in (*self.puts, *self.deletes))
 
     def digest(self) -> str:
-        """Return a digest of the content, to tell a resend from a clash."""
+        """Return a digest of the content, to tell a resend from a reused change id."""
         return blake3(msgspec.msgpack.encode(self)).hexdigest()
 
 
 class ChangeResult(msgspec.Struct, frozen=True):
-    """Outcome of a change.
+    """Result of a change.
 
     Attributes
     ----------
     code : int
         Result code.
     revision : int
-        Catalogue revision after the change, or the one that stands.
+        Catalogue revision after the change, or the current one if it was refused.
     message : str
-        Why it was refused.
+        Reason of a refusal.
     accepted : tuple of Entry
-        On a used change id, what was accepted under it; on another refusal,
-        what stands under the names concerned.
+        If the change id was used before, the entries accepted with it; for other
+        refusals, the accepted entries of the names in the change.
     """
 
     code: int
@@ -84,14 +84,14 @@
 
 
 class Stored(msgspec.Struct, frozen=True):
-    """Accepted entry with the revision that accepted it."""
+    """Accepted entry and the catalogue revision in which it was accepted."""
 
     entry: Entry
     revision: int
 
 
 def change_errors(change: Change) -> Iterator[str]:
-    """Yield what is wrong with the form of a change."""
+    """Yield an error message for each rule that a change breaks by itself."""
     if not CHANGE_ID_PATTERN.fullmatch(change.change_id):
         yield (
             "change_id: expected 1 to 64 of A-Z a-z 0-9 . _ : / -, got"
@@ -102,31 +102,31 @@
     seen: set[str] = set()
     for name in change.names:
         if name in seen:
-            yield f"{name}: expected once in a change, got it again"
+            yield f"{name}: expected each name once in a change, got it again"
         seen.add(name)
     for delete in change.deletes:
         if delete.base_revision < 1:
-            yield f"{delete.name}: expected the revision that a delete removes"
+            yield f"{delete.name}: expected the base revision of the entry to delete"
 
 
 def diff(
     desired: dict[str, Entry], stored: dict[str, Stored], owner: str
 ) -> tuple[tuple[Put, ...], tuple[Delete, ...]]:
-    """Compare files with what is accepted.
+    """Return the puts and deletes that turn the accepted entries into `desired`.
 
     Parameters
     ----------
-    wanted : dict
-        Entry by name, from files.
+    desired : dict
+        Entries by name, read from files.
     stored : dict
-        Accepted entry by name.
+        Accepted entries by name.
     owner : str
-        Only this owner's entries are deleted when no file has them.
+        Accepted entries that are not in `desired` are deleted if they have this owner.
 
     Returns
     -------
     puts, deletes : tuple
-        What to send; both empty when nothing differs.
+        Content of the change to send; both empty if there is no difference.
     """
     puts = tuple(
         Put(entry, stored[name].revision if name in stored else 0)
@@ -144,7 +144,7 @@
 def format_changes(
     puts: tuple[Put, ...], deletes: tuple[Delete, ...], stored: dict[str, Stored]
 ) -> Iterator[str]:
-    """Yield readable lines: ``+`` new, ``-`` gone, ``~`` changed, key by key."""
+    """Yield one line per difference: ``+`` added, ``-`` removed, ``~`` changed."""
     for put in puts:
         if put.name in stored:
             yield f"~ {put.name}"
@@ -157,7 +157,7 @@
 
 
 def format_keys(before: Entry | None, after: Entry) -> Iterator[str]:
-    """Yield a line for each key that differs."""
+    """Yield one line per key that differs."""
     old = dict(flatten_keys(before)) if before is not None else {}
     for key, value in flatten_keys(after):
         if before is None:
@@ -167,7 +167,7 @@
 
 
 def flatten_keys(entry: Entry) -> Iterator[tuple[str, str]]:
-    """Yield each key of an entry, as in its file, with its value as JSON."""
+    """Yield each key of an entry as in its file, with its value as JSON."""
     for key, value in msgspec.to_builtins(entry).items():
         if isinstance(value, dict):
             for inner, item in value.items():
--- a/src/wisteriapulley/catalogue/entry.py
+++ b/src/wisteriapulley/catalogue/entry.py
@@ -1,4 +1,4 @@
-"""Catalogue entries and the rules they keep."""
+"""Catalogue entries and their validation."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -14,8 +14,8 @@
 DISTRIBUTIONS = ("time_to_replicas", "origin_bytes")
 ROLES = ("serve", "prefill", "decode", "batch")
 PRIORITY_RANGE = range(-100, 101)
-# Above today's and the planned sizes by a wide margin; a slip of three digits
-# is refused before it is in force everywhere.
+# Far above current and planned values, but low enough to refuse a value that is wrong
+# by three digits before it takes effect in the whole fleet.
 LIMIT_RANGES = {
     "requests_per_s": (0.001, 100_000.0),
     "burst": (1, 100_000),
@@ -26,18 +26,18 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Limits of one client account under an entry.
+    """Request limits of an entry.
 
     Attributes
     ----------
     requests_per_s : float
-        Steady rate.
+        Sustained rate of one client account.
     burst : int
-        Requests that may come at once.
+        Requests that one client account may send at once.
     in_flight : int
-        Requests of all accounts that one target runs at once.
+        Concurrent requests of all client accounts at one target.
     deadline_ms : int
-        Deadline of a request that states none, in milliseconds.
+        Deadline of a request that does not set one, in milliseconds.
     """
 
     requests_per_s: float = 100.0
@@ -58,27 +58,27 @@
     Attributes
     ----------
     name : str
-        Callers use it as ``model``, or as the service's path.
+        Name that callers send as ``model`` or as the path of the service.
     owner : str
-        Who may change the entry.
+        Owner that may change the entry.
     traffic_class : str
-        Class of its requests; ``class`` in files.
+        Traffic class of its requests; ``class`` in files.
     limits : Limits
-        Per client account.
+        Request limits.
     service : str
-        Targets announce it.
+        Service that its targets announce.
     version : str
         Digest of the manifest, 64 hexadecimal digits; empty for a plain service.
     idempotent : bool
         Whether a request may run more than once.
     priority : int
-        Passed to engines; lower runs first.
+        Priority that is passed to engines; requests with a lower value run first.
     distribution : {'time_to_replicas', 'origin_bytes'}
-        What a burst saves.
+        What to minimise when many targets download a version at once.
     max_unavailable : int
-        Targets of one failure domain that may switch at once.
+        Maximum number of targets in one failure domain that switch version at once.
     leaving : tuple of str
-        Node ids of targets that get no new work.
+        Node ids of targets that receive no new requests.
     """
 
     name: str
@@ -95,8 +95,9 @@
     leaving: tuple[str, ...] = ()
 
 
-# What entries of one service must share, because its targets have one of each.
-# The owner too: another's entry could otherwise stop the service's versions.
+# Keys that must be equal in all entries of a service, because each target has a single
+# value for them. The owner is included: an entry of another owner could otherwise block
+# new versions of the service.
 SHARED_SERVICE_KEYS = (
     "owner",
     "version",
@@ -108,7 +109,7 @@
 
 
 def entry_errors(entry: Entry) -> Iterator[str]:
-    """Yield what is wrong with one entry, as ``key: expected, got``."""
+    """Yield the errors of one entry as ``key: expected ..., got ...``."""
     yield from name_errors(entry)
     yield from weights_errors(entry)
     yield from limit_errors(entry)
@@ -116,7 +117,7 @@
 
 
 def name_errors(entry: Entry) -> Iterator[str]:
-    """Yield what is wrong with the names that an entry bears."""
+    """Yield the errors in the names of an entry."""
     for key in ("name", "owner", "traffic_class", "service"):
         if not NAME_PATTERN.fullmatch(getattr(entry, key)):
             yield (
@@ -126,7 +127,7 @@
 
 
 def weights_errors(entry: Entry) -> Iterator[str]:
-    """Yield what is wrong with version, role and distribution."""
+    """Yield the errors in version, role and distribution."""
     if entry.version and not DIGEST_PATTERN.fullmatch(entry.version):
         yield (
             "version: expected a manifest digest of 64 hexadecimal digits,"
@@ -146,21 +147,21 @@
 
 
 def limit_errors(entry: Entry) -> Iterator[str]:
-    """Yield which numbers are out of range."""
+    """Yield an error for each number that is out of range."""
     if not 1 <= entry.max_unavailable <= MAX_LEAVING:
         yield (
             f"max_unavailable: expected 1 to {MAX_LEAVING}, got {entry.max_unavailable}"
         )
     if entry.priority not in PRIORITY_RANGE:
         yield f"priority: expected -100 to 100, got {entry.priority}"
-    for key, (least, most) in LIMIT_RANGES.items():
+    for key, (minimum, maximum) in LIMIT_RANGES.items():
         value = getattr(entry.limits, key)
-        if not least <= value <= most:
-            yield f"limits.{key}: expected {least} to {most}, got {value}"
+        if not minimum <= value <= maximum:
+            yield f"limits.{key}: expected {minimum} to {maximum}, got {value}"
 
 
 def leaving_errors(entry: Entry) -> Iterator[str]:
-    """Yield what is wrong with the list of leaving targets."""
+    """Yield the errors in the list of leaving targets."""
     if len(entry.leaving) > MAX_LEAVING:
         yield f"leaving: expected at most {MAX_LEAVING}, got {len(entry.leaving)}"
     seen: set[str] = set()
@@ -173,7 +174,7 @@
 
 
 def service_errors(entries: Iterable[Entry]) -> Iterator[str]:
-    """Yield where entries of one service disagree."""
+    """Yield an error for each key that differs within a service."""
     first: dict[str, Entry] = {}
     for entry in entries:
         other = first.setdefault(entry.service, entry)
@@ -187,20 +188,20 @@
 
 
 def validate(entries: Iterable[Entry]) -> None:
-    """Check entries that are to stand together.
+    """Check the entries of one catalogue.
 
     Raises
     ------
     CatalogueError
-        The first rule broken, naming entry and key.
+        The first error, with the name of the entry and the key.
     """
     entries = tuple(entries)
-    faults = [
-        f"{entry.name}: {fault}" for entry in entries for fault in entry_errors(entry)
+    errors = [
+        f"{entry.name}: {error}" for entry in entries for error in entry_errors(entry)
     ]
-    faults += service_errors(entries)
-    if faults:
-        raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, faults[0])
+    errors += service_errors(entries)
+    if errors:
+        raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, errors[0])
 
 
 def load_entry(path: Path) -> Entry:
@@ -209,7 +210,7 @@
     Raises
     ------
     CatalogueError
-        The file is unreadable or not an entry; the message names file and key.
+        The file is unreadable or not a valid entry; the message has file and key.
     """
     try:
         entry = msgspec.json.decode(path.read_bytes(), type=Entry)
@@ -226,24 +227,24 @@
         raise CatalogueError(
             ResultCode.CATALOGUE_FILE_UNREADABLE, f"{path}: expected JSON: {error}"
         ) from error
-    faults = list(entry_errors(entry))
-    if faults:
-        raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, f"{path}: {faults[0]}")
+    errors = list(entry_errors(entry))
+    if errors:
+        raise CatalogueError(ResultCode.CATALOGUE_ENTRY_INVALID, f"{path}: {errors[0]}")
     return entry
 
 
 def load_folder(folder: str) -> dict[str, Entry]:
-    """Read every ``*.json`` of a folder kept in version control.
+    """Read and validate all ``*.json`` entry files of a folder.
 
     Returns
     -------
     dict
-        Entry by name.
+        Entries by name.
 
     Raises
     ------
     CatalogueError
-        A file is bad, a name stands twice, or entries contradict each other.
+        A file is invalid, a name occurs twice, or entries contradict each other.
     """
     if not Path(folder).is_dir():
         raise CatalogueError(
@@ -256,8 +257,7 @@
         if entry.name in entries:
             raise CatalogueError(
                 ResultCode.CATALOGUE_ENTRY_INVALID,
-                f"{path}: name: expected one file an entry, {entry.name!r} stands"
-                " twice",
+                f"{path}: name: expected one file per entry, got {entry.name!r} twice",
             )
         entries[entry.name] = entry
     validate(entries.values())
--- a/src/wisteriapulley/catalogue_commands.py
+++ b/src/wisteriapulley/catalogue_commands.py
@@ -9,13 +9,13 @@
 EXIT_OK = 0
 EXIT_DIFFERS = 3
 
-Folder = Annotated[str, cappa.Arg(help="Folder with one JSON file an entry.")]
+Folder = Annotated[str, cappa.Arg(help="Folder with one JSON file per entry.")]
 Control = Annotated[
     str,
     cappa.Arg(
         long=True,
         default=cappa.Env("WISTERIAPULLEY_CONTROL"),
-        help="Operators' addresses of control instances, ip:port, by commas.",
+        help="Operator API addresses (ip:port) of control instances, comma-separated.",
     ),
 ]
 TokenFile = Annotated[
@@ -23,10 +23,10 @@
     cappa.Arg(
         long=True,
         default=cappa.Env("WISTERIAPULLEY_TOKEN_FILE"),
-        help="File that holds the operator's bearer token.",
+        help="File with the bearer token of the operator.",
     ),
 ]
-Owner = Annotated[str, cappa.Arg(long=True, help="Owner whose entries these are.")]
+Owner = Annotated[str, cappa.Arg(long=True, help="Owner of the entries.")]
 
 
 @cappa.command(name="check", help="Check a folder of entries.")
@@ -37,7 +37,7 @@
     folder: Folder
 
     def __call__(self) -> int:
-        """Print how many entries are fine."""
+        """Print the number of valid entries."""
         from wisteriapulley.catalogue import load_folder
 
         print(f"{self.folder}: {len(load_folder(self.folder))} entries are valid")
@@ -55,7 +55,7 @@
     owner: Owner
 
     def __call__(self) -> int:
-        """Print a line each change; exit 3 when there is one."""
+        """Print one line per difference; exit with 3 if there is one."""
         from wisteriapulley.operator_client import OperatorClient, format_diff
 
         client = OperatorClient.from_files(self.control, self.token_file, self.owner)
@@ -64,24 +64,25 @@
         return EXIT_DIFFERS if lines else EXIT_OK
 
 
-@cappa.command(name="apply", help="Make the accepted entries those of a folder.")
+@cappa.command(name="apply", help="Apply a folder of entries to the catalogue.")
 @dataclass
 class CatalogueApply:
-    """Make the accepted entries those of a folder."""
+    """Apply a folder of entries to the catalogue."""
 
     folder: Folder
     control: Control
     token_file: TokenFile
     owner: Owner
     change_id: Annotated[
-        str, cappa.Arg(long=True, help="Number of this change; the same on a resend.")
+        str,
+        cappa.Arg(long=True, help="Id of this change; use the same id to resend it."),
     ] = ""
     wait: Annotated[
-        int, cappa.Arg(long=True, help="Wait so many seconds until in force.")
+        int, cappa.Arg(long=True, help="Wait up to this many seconds until in force.")
     ] = 0
 
     def __call__(self) -> int:
-        """Apply and print the revision."""
+        """Apply the folder and print the revision."""
         from wisteriapulley.operator_client import OperatorClient, apply_folder
 
         client = OperatorClient.from_files(self.control, self.token_file, self.owner)
@@ -107,7 +108,7 @@
     token_file: TokenFile
 
     def __call__(self) -> int:
-        """Print it."""
+        """Print the response."""
         return print_response("/v1/catalogue", self.control, self.token_file)
 
 
@@ -120,20 +121,20 @@
     token_file: TokenFile
 
     def __call__(self) -> int:
-        """Print them."""
+        """Print the response."""
         return print_response("/v1/catalogue/history", self.control, self.token_file)
 
 
-@cappa.command(name="status", help="Show what is in force by failure domain.")
+@cappa.command(name="status", help="Show the state of each failure domain and node.")
 @dataclass
 class CatalogueStatus:
-    """Show what is in force."""
+    """Show the state of each failure domain and node."""
 
     control: Control
     token_file: TokenFile
 
     def __call__(self) -> int:
-        """Print a table."""
+        """Print the status table."""
         from wisteriapulley.catalogue_status import status_table
         from wisteriapulley.operator_client import OperatorClient
 
@@ -143,7 +144,7 @@
 
 
 def print_response(path: str, control: str, token_file: str) -> int:
-    """Print what an operators' page answers."""
+    """Print the response to a GET request to a control instance."""
     from wisteriapulley.operator_client import OperatorClient
 
     client = OperatorClient.from_files(control, token_file, "")
--- a/src/wisteriapulley/catalogue_status.py
+++ b/src/wisteriapulley/catalogue_status.py
@@ -1,4 +1,4 @@
-"""What is in force by failure domain, and its display while one waits."""
+"""Status of the catalogue by failure domain: table and progress display."""
 
 import time
 from collections.abc import Iterable, Iterator
@@ -14,20 +14,20 @@
 
 
 class DomainStatus(NamedTuple):
-    """What one failure domain has in force.
+    """Status of one failure domain.
 
     Attributes
     ----------
     revision : int
         Lowest revision of its nodes.
     nodes, current : int
-        Its nodes, and those that have the wanted revision.
+        Number of its nodes, and of those that have the requested revision.
     replicas, serving : int
-        Targets that should serve a version, and those that do.
+        Number of targets with a desired version, and of those that serve it.
     bytes_done, bytes_total : int
-        Of the copies of its targets.
+        Downloaded and total bytes of the local copies of its targets.
     remaining_s : float
-        Estimated time to the last copy's end; -1 when not known.
+        Estimated time until the last download ends, in seconds; -1 if unknown.
     """
 
     name: str
@@ -44,44 +44,45 @@
 def status_by_domain(
     status: Status, revision: int | None = None
 ) -> Iterator[DomainStatus]:
-    """Yield each failure domain's status, in name order.
+    """Yield the status of each failure domain, sorted by name.
 
     Parameters
     ----------
     status : Status
-        Of every node; those that are leaving are not waited for.
+        Status of all nodes; leaving nodes are not counted.
     revision : int, optional
-        The wanted one; by default the accepted one.
+        Revision that nodes should have; by default the accepted one.
     """
-    wanted = status.revision if revision is None else revision
+    expected = status.revision if revision is None else revision
     rows = [row for row in status.nodes if not row.leaving]
     for name in sorted({row.failure_domain for row in rows}):
-        own = [row for row in rows if row.failure_domain == name]
-        yield summarize_domain(name, own, wanted)
+        domain_rows = [row for row in rows if row.failure_domain == name]
+        yield summarize_domain(name, domain_rows, expected)
 
 
-def summarize_domain(name: str, rows: list[StatusRow], wanted: int) -> DomainStatus:
-    """Sum up the rows of one failure domain."""
+def summarize_domain(name: str, rows: list[StatusRow], expected: int) -> DomainStatus:
+    """Aggregate the rows of one failure domain."""
     replicas = [row for row in rows if row.desired]
     serving = [row for row in replicas if serves_desired_version(row)]
-    copying = [
+    downloading = [
         row for row in replicas if not serves_desired_version(row) and row.bytes_total
     ]
     return DomainStatus(
         name,
         min(row.revision for row in rows),
         len(rows),
-        sum(row.revision >= wanted for row in rows),
+        sum(row.revision >= expected for row in rows),
         len(replicas),
         len(serving),
-        sum(row.bytes_done for row in copying) + sum(r.bytes_total for r in serving),
-        sum(row.bytes_total for row in (*copying, *serving)),
-        max((row.remaining_s for row in copying), default=-1.0),
+        sum(row.bytes_done for row in downloading)
+        + sum(r.bytes_total for r in serving),
+        sum(row.bytes_total for row in (*downloading, *serving)),
+        max((row.remaining_s for row in downloading), default=-1.0),
     )
 
 
 def serves_desired_version(row: StatusRow) -> bool:
-    """Tell whether a target serves what it should."""
+    """Return whether a target serves its desired version."""
     return row.state == OPEN_STATE and row.version == row.desired
 
 
@@ -107,9 +108,9 @@
 
 
 def node_lines(row: StatusRow) -> Iterator[str]:
-    """Yield a node's line, and why its last load failed."""
-    share = 100 * row.bytes_done // row.bytes_total if row.bytes_total else 0
-    copied = f"{share:>3} %" if row.bytes_total else ""
+    """Yield the line of a node, and the detail of its last failed load."""
+    percent = 100 * row.bytes_done // row.bytes_total if row.bytes_total else 0
+    copied = f"{percent:>3} %" if row.bytes_total else ""
     state = f"{row.state}*" if row.leaving else row.state
     yield (
         f"{row.node_id:<24}{row.failure_domain:<12}{row.revision:>6}"
@@ -120,7 +121,7 @@
 
 
 def format_time_left(domain: DomainStatus) -> str:
-    """Format the estimated time to the last replica's copy."""
+    """Format the estimated time until the last replica has its local copy."""
     if domain.serving == domain.replicas:
         return "done"
     if domain.remaining_s < 0:
@@ -129,14 +130,14 @@
 
 
 def wait_in_force(client: OperatorClient, revision: int, timeout_s: float) -> None:
-    """Wait until a revision is in force everywhere, showing progress.
+    """Show progress until all nodes that are not leaving apply a revision.
 
     Raises
     ------
     CatalogueError
-        STILL_PROPAGATING after `timeout_s`; the message names who is behind.
+        STILL_PROPAGATING after `timeout_s`; the message has the lagging nodes.
     """
-    # Imported late: only a waiting operator needs it.
+    # Imported here because only this function needs it.
     from rich.console import Console
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn
 
@@ -158,22 +159,22 @@
             if time.monotonic() >= deadline:
                 break
             time.sleep(POLL_INTERVAL_S)
-    behind = ", ".join(lagging_node_ids(status.nodes, revision)) or "no node is known"
+    lagging = ", ".join(lagging_node_ids(status.nodes, revision)) or "no node is known"
     raise CatalogueError(
         ResultCode.STILL_PROPAGATING,
-        f"revision {revision} is accepted but not in force at: {behind}",
+        f"revision {revision} is accepted but not in force at: {lagging}",
     )
 
 
 def lagging_node_ids(rows: Iterable[StatusRow], revision: int) -> list[str]:
-    """Return the nodes that lack a revision."""
+    """Return the ids of the nodes that have not applied a revision."""
     return [r.node_id for r in rows if r.revision < revision and not r.leaving]
 
 
 def update_progress(
     progress, tasks: dict[str, int], domains: list[DomainStatus]
 ) -> None:
-    """Bring the progress display up to date."""
+    """Update the progress display."""
     for domain in domains:
         if domain.name not in tasks:
             tasks[domain.name] = progress.add_task(domain.name, replicas="")
--- a/src/wisteriapulley/operator_client.py
+++ b/src/wisteriapulley/operator_client.py
@@ -1,4 +1,4 @@
-"""The operator's side: talks to control instances over HTTP."""
+"""HTTP client of operators for control instances."""
 
 import http.client
 import time
@@ -17,7 +17,7 @@
 from wisteriapulley.settings import Address
 
 REQUEST_TIMEOUT_S = 5.0
-# Each instance is asked at least twice: a new leader is elected meanwhile.
+# More than one, so that a new leader can be elected between the attempts.
 ATTEMPTS_PER_ADDRESS = 3
 RETRY_PAUSE_S = 0.5
 STATUS_UNAVAILABLE = 503
@@ -25,16 +25,16 @@
 
 
 class OperatorClient:
-    """Asks control instances in turn until one answers.
+    """Send requests to control instances in turn until one responds.
 
     Parameters
     ----------
     addresses : list of Address
-        Operators' addresses.
+        Operator API addresses of the control instances.
     token : str
         Bearer token.
     owner : str
-        Whose token it is.
+        Owner of the token.
     """
 
     def __init__(self, addresses: list[Address], token: str, owner: str):
@@ -44,12 +44,12 @@
 
     @classmethod
     def from_files(cls, control: str, token_file: str, owner: str) -> "OperatorClient":
-        """Make a client from command line values.
+        """Create a client from command line values.
 
         Raises
         ------
         SettingsError
-            An address or the token file is bad.
+            An address is invalid or the token file is unreadable.
         """
         try:
             addresses = [Address.from_text(text) for text in control.split(",")]
@@ -65,18 +65,18 @@
         return cls(addresses, token, owner)
 
     def request(self, method: str, path: str, body: bytes = b"") -> bytes:
-        """Send to any instance; resend while none has a quorum.
+        """Send a request to any instance; retry while none has a quorum.
 
-        Resending a change is safe: its change id stays the same, so a change
-        whose answer was lost gets its first result.
+        Resending a change is safe: it has the same change id, so if the response to
+        an accepted change was lost, the resend returns the original result.
 
         Raises
         ------
         CatalogueError
-            Refused; NO_QUORUM when no instance with a quorum answered, so that
-            the outcome of a change is not known.
+            The request was refused, or, with NO_QUORUM, no instance with a quorum
+            responded; the outcome of a change is then unknown.
         """
-        reason = "no control instance answered"
+        reason = "no control instance responded"
         for address in self.addresses * ATTEMPTS_PER_ADDRESS:
             try:
                 status, data = self.request_one(address, method, path, body)
@@ -91,13 +91,14 @@
                 reason = f"{address}: {error_text(data)}"
             time.sleep(RETRY_PAUSE_S)
         raise CatalogueError(
-            ResultCode.NO_QUORUM, f"{reason}; whether it was accepted is not known"
+            ResultCode.NO_QUORUM,
+            f"{reason}; it is unknown whether the request was accepted",
         )
 
     def request_one(
         self, address: Address, method: str, path: str, body: bytes
     ) -> tuple[int, bytes]:
-        """Send to one instance."""
+        """Send a request to one instance; return status and body."""
         connection = http.client.HTTPConnection(
             address.host, address.port, timeout=REQUEST_TIMEOUT_S
         )
@@ -114,48 +115,48 @@
         return decode(self.request("GET", "/v1/catalogue"), CatalogueImage)
 
     def status(self) -> Status:
-        """Return what every node has in force."""
+        """Return the status of all nodes."""
         return decode(self.request("GET", "/v1/status"), Status)
 
     def change(self, change: Change) -> ChangeResult:
-        """Send a change."""
+        """Send a change and return its result."""
         body = msgspec.json.encode(change)
         return decode(self.request("POST", "/v1/catalogue/changes", body), ChangeResult)
 
 
 class ErrorBody(msgspec.Struct):
-    """Inner part of an error answer."""
+    """Content of an error response."""
 
     code: int
     message: str
 
 
 class ErrorAnswer(msgspec.Struct):
-    """Error answer of a control instance."""
+    """Error response of a control instance."""
 
     error: ErrorBody
 
 
 def decode(data: bytes, kind: type):
-    """Decode an answer.
+    """Decode a response.
 
     Raises
     ------
     CatalogueError
-        REQUEST_MALFORMED: it is not the answer of a control instance.
+        REQUEST_MALFORMED: it is not a response of a control instance.
     """
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.DecodeError as error:
         raise CatalogueError(
             ResultCode.REQUEST_MALFORMED,
-            f"expected {kind.__name__} of a control instance, got {data[:80]!r}:"
+            f"expected {kind.__name__} from a control instance, got {data[:80]!r}:"
             f" {error}; check --control",
         ) from error
 
 
 def raise_result_code(data: bytes) -> None:
-    """Raise the coded error that an answer holds; let a change's result pass."""
+    """Raise the error of an error response; return if it is a change result."""
     try:
         error = msgspec.json.decode(data, type=ErrorAnswer).error
     except msgspec.DecodeError:
@@ -164,7 +165,7 @@
 
 
 def error_text(data: bytes) -> str:
-    """Return the message of an error answer."""
+    """Return the message of an error response."""
     try:
         return msgspec.json.decode(data, type=ErrorAnswer).error.message
     except msgspec.DecodeError:
@@ -172,14 +173,14 @@
 
 
 def format_diff(client: OperatorClient, folder: str) -> Iterator[str]:
-    """Yield what apply would change, key by key."""
+    """Yield what `apply_folder` would change, one line per key."""
     image = client.catalogue()
     puts, deletes = diff(load_folder(folder), image.entries, client.owner)
     yield from format_changes(puts, deletes, image.entries)
 
 
 class ApplyResult(NamedTuple):
-    """Outcome of `apply_folder`: the revision, and whether a change was sent."""
+    """Result of `apply_folder`; `is_new` is whether a change was sent."""
 
     revision: int
     change_id: str
@@ -189,17 +190,17 @@
 def apply_folder(
     client: OperatorClient, folder: str, change_id: str = ""
 ) -> ApplyResult:
-    """Make the accepted entries those of a folder.
+    """Apply a folder of entries to the accepted catalogue.
 
-    Idempotent: nothing is sent when nothing differs, so a run after a lost
-    answer finds its change accepted; one that is still on its way is met by
-    its change id.
+    This is idempotent: without a difference nothing is sent, so if a response was
+    lost, the next run finds the change accepted. A change that is still in flight is
+    recognised by its change id.
 
     Raises
     ------
     CatalogueError
-        The change was refused; the message says what was accepted instead.
-        NO_QUORUM names the change id to send again.
+        The change was refused; the message has the entries accepted instead. With
+        NO_QUORUM, the message has the change id to use for the resend.
     """
     image = client.catalogue()
     puts, deletes = diff(load_folder(folder), image.entries, client.owner)
--- a/src/wisteriapulley/statechart.py
+++ b/src/wisteriapulley/statechart.py
@@ -1,7 +1,7 @@
-"""Interpreter of the state charts under ``charts/``.
+"""State machines defined by the charts under ``charts/``.
 
 A chart is a JSON object with ``states``, ``initial`` and ``transitions``
-(``[trigger, source, target]``); `transitions` runs it.
+(``[trigger, source, target]``); the `transitions` package runs it.
 """
 
 import json
@@ -20,7 +20,7 @@
     Parameters
     ----------
     name : str
-        File name under ``charts/`` without its ending.
+        File name under ``charts/`` without the extension.
 
     Returns
     -------
@@ -32,14 +32,14 @@
 
 
 class StateChart:
-    """State of one subject, moved only along its chart.
+    """State of one object, which changes only along the edges of its chart.
 
     Parameters
     ----------
     name : str
         Name of the chart.
     on_enter : callable, optional
-        Called with the new state after each move.
+        Called with the new state after each transition.
     """
 
     def __init__(self, name: str, on_enter=None):
@@ -61,7 +61,7 @@
         Raises
         ------
         WisteriapulleyError
-            The chart has no such edge from the present state.
+            UNEXPECTED_MESSAGE: the chart has no such edge from the current state.
         """
         try:
             self.trigger(trigger)
@@ -72,10 +72,10 @@
             ) from error
 
     def can(self, trigger: str) -> bool:
-        """Tell whether the chart has the edge `trigger` from here."""
+        """Return whether the chart has the edge `trigger` from the current state."""
         return trigger in self.machine.get_triggers(self.state)
 
     def notify(self) -> None:
-        """Report the new state."""
+        """Call `on_enter` with the new state."""
         if self.on_enter is not None:
             self.on_enter(self.state)
