--- a/src/wisteriapulley/catalogue_commands.py
+++ b/src/wisteriapulley/catalogue_commands.py
@@ -75,7 +75,7 @@
     owner: Owner
     change_id: Annotated[
         str,
-        cappa.Arg(long=True, help="Id of this change; use the same id to resend it."),
+        cappa.Arg(long=True, help="Id of this change; use the same id to resend."),
     ] = ""
     wait: Annotated[
         int, cappa.Arg(long=True, help="Wait up to this many seconds until in force.")
--- a/src/wisteriapulley/consensus/files.py
+++ b/src/wisteriapulley/consensus/files.py
@@ -68,7 +68,7 @@
             probe.write_bytes(bytes(PROBE_BYTES))
             probe.unlink()
         except OSError as error:
-            log.info("disk still full: %s: %s", probe, error)
+            log.info("disk does not accept writes yet: %s: %s", probe, error)
             return False
         return True
 
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -20,26 +20,26 @@
     return Entry(name=name, **fields)
 
 
-def change(number, *puts):
-    return Change(number, "o", tuple(Put(e, base) for e, base in puts))
+def change(change_id, *puts):
+    return Change(change_id, "o", tuple(Put(e, base) for e, base in puts))
 
 
 class TestCatalogue:
-    def test_resend_gets_its_first_result(self):
+    def test_resend_returns_the_original_result(self):
         catalogue = Catalogue()
         first = catalogue.apply(change("1", (entry(), 0)))
         catalogue.apply(change("2", (entry(priority=3), 1)))
         assert catalogue.apply(change("1", (entry(), 0))) == first
         assert catalogue.entries["reports"].entry.priority == 3
 
-    def test_equal_number_with_other_content_says_what_was_accepted(self):
+    def test_reused_change_id_returns_the_accepted_entries(self):
         catalogue = Catalogue()
         catalogue.apply(change("1", (entry(), 0)))
         result = catalogue.apply(change("1", (entry(priority=9), 0)))
         assert result.code == ResultCode.CHANGE_ID_CONFLICT
         assert result.accepted == (entry(),)
 
-    def test_race_on_a_revision_has_one_winner(self):
+    def test_one_of_two_changes_with_the_same_base_is_accepted(self):
         catalogue = Catalogue()
         catalogue.apply(change("1", (entry(), 0)))
         codes = [
@@ -48,7 +48,7 @@
         assert codes == [ResultCode.OK, ResultCode.REVISION_CONFLICT]
         assert catalogue.revision == 2
 
-    def test_all_or_nothing(self):
+    def test_change_is_atomic(self):
         catalogue = Catalogue()
         result = catalogue.apply(
             change("1", (entry("a"), 0), (entry("b", max_unavailable=0), 0))
@@ -62,7 +62,7 @@
         theirs = Change("2", "p", (Put(entry(owner="p"), 1),))
         assert catalogue.apply(theirs).code == ResultCode.NOT_OWNER
 
-    def test_used_number_says_what_was_accepted_then(self):
+    def test_reused_change_id_returns_the_entries_of_its_revision(self):
         catalogue = Catalogue()
         catalogue.apply(change("1", (entry(), 0)))
         catalogue.apply(change("2", (entry(priority=3), 1)))
@@ -81,25 +81,25 @@
             change("1", (entry("a"), 0), (entry("b", version="a" * 64), 0)),
         ],
     )
-    def test_malformed_change_is_refused_whole(self, bad):
+    def test_malformed_change_is_refused_as_a_whole(self, bad):
         catalogue = Catalogue()
         assert catalogue.apply(bad).code == ResultCode.CATALOGUE_ENTRY_INVALID
         assert (catalogue.revision, catalogue.entries) == (0, {})
 
-    def test_other_owner_can_not_join_a_service(self):
+    def test_other_owner_cannot_add_an_entry_to_a_service(self):
         catalogue = Catalogue()
         catalogue.apply(change("1", (entry(), 0)))
         theirs = Change("2", "p", (Put(entry("x", owner="p"), 0),))
         assert catalogue.apply(theirs).code == ResultCode.CATALOGUE_ENTRY_INVALID
 
-    def test_delete_of_an_older_revision_is_refused(self):
+    def test_delete_with_a_superseded_revision_is_refused(self):
         catalogue = Catalogue()
         catalogue.apply(change("1", (entry(), 0)))
         catalogue.apply(change("2", (entry(priority=3), 1)))
-        late = Change("3", "o", (), (Delete("reports", 1),))
-        assert catalogue.apply(late).code == ResultCode.REVISION_CONFLICT
+        stale = Change("3", "o", (), (Delete("reports", 1),))
+        assert catalogue.apply(stale).code == ResultCode.REVISION_CONFLICT
 
-    def test_history_is_bounded_and_a_forgotten_resend_is_refused(self):
+    def test_history_is_limited_and_resend_of_a_dropped_change_is_refused(self):
         catalogue = Catalogue()
         for number in range(HISTORY_LENGTH + 1):
             put = (entry(priority=number % 100), number)
@@ -116,11 +116,11 @@
 
     def test_diff_is_empty_after_apply(self, tmp_path):
         self.write(tmp_path)
-        wanted = load_folder(str(tmp_path))
+        desired = load_folder(str(tmp_path))
         catalogue = Catalogue()
-        puts, deletes = diff(wanted, catalogue.entries, "o")
+        puts, deletes = diff(desired, catalogue.entries, "o")
         catalogue.apply(Change("1", "o", puts, deletes))
-        assert diff(wanted, catalogue.entries, "o") == ((), ())
+        assert diff(desired, catalogue.entries, "o") == ((), ())
 
     @pytest.mark.parametrize(
         ("values", "key"),
--- a/tests/test_check_spec.py
+++ b/tests/test_check_spec.py
@@ -5,7 +5,7 @@
 from specs.mutants import MUTANTS
 from specs.proofs import facts
 
-# `make check-spec` runs many more: this part takes a few seconds.
+# `make check-spec` runs many more examples; these take a few seconds.
 EXAMPLES = 6
 QUICK_MUTANTS = (
     "forgets_vote",
@@ -31,7 +31,7 @@
 
 
 class TestClaimsSpec:
-    def test_one_run_per_claim(self):
+    def test_claim_runs_at_most_once(self):
         assert not run_apart("claims", "", 10 * EXAMPLES).breach
 
     @pytest.mark.parametrize("mutant", CLAIM_MUTANTS, ids=lambda m: m.name)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -16,14 +16,14 @@
 )
 
 
-class Quiet(Cluster):
-    """A cluster over a perfect network."""
+class ReliableCluster(Cluster):
+    """A cluster whose network loses, delays and repeats no messages."""
 
     def __init__(self, **options):
         super().__init__(**options)
-        self.pass_ms(3000)
+        self.advance_ms(3000)
 
-    def pass_ms(self, duration_ms):
+    def advance_ms(self, duration_ms):
         self.run(duration_ms, random.Random(0), 0)
 
     @property
@@ -37,35 +37,35 @@
     def commit(self, count=1):
         for _ in range(count):
             self.propose()
-        self.pass_ms(500)
+        self.advance_ms(500)
 
 
 @pytest.fixture
 def cluster():
-    return Quiet()
+    return ReliableCluster()
 
 
 def revisions(cluster):
     return [node.state.revision for node in cluster.up()]
 
 
-class TestStartWithoutALeader:
-    """What was committed before a start is known before anybody leads."""
+class TestStartWithoutLeader:
+    """Records known as committed before a restart are applied before an election."""
 
-    def test_commits_are_applied_at_once(self, cluster):
+    def test_committed_records_are_applied_at_once(self, cluster):
         cluster.commit(3)
         for name in "abc":
             cluster.crash(name)
         cluster.boot("a")
-        cluster.pass_ms(25)
+        cluster.advance_ms(25)
         assert not cluster.leaders()
         assert revisions(cluster)[0] >= 2
 
-    def test_record_that_was_only_synced_is_not(self, cluster):
+    def test_uncommitted_synced_record_is_not_applied(self, cluster):
         cluster.commit(2)
         leader = cluster.leader
         cluster.cut.add(leader.node_id)
-        known = leader.state.revision
+        committed_revision = leader.state.revision
         leader.replica.propose(b"x")
         cluster.turn(leader)
         assert leader.disk.log.last_index > leader.replica.commit_index
@@ -73,52 +73,52 @@
         cluster.boot(leader.node_id)
         cluster.turn(leader)
         assert leader.replica.commit_index < leader.disk.log.last_index
-        assert leader.state.revision <= known
+        assert leader.state.revision <= committed_revision
 
 
 class TestReplication:
-    def test_command_is_applied_everywhere(self, cluster):
+    def test_command_is_applied_on_all_nodes(self, cluster):
         cluster.commit()
         assert revisions(cluster) == [1, 1, 1]
 
-    def test_new_leader_keeps_what_was_committed(self, cluster):
+    def test_new_leader_keeps_committed_records(self, cluster):
         cluster.commit()
         first = cluster.leader.node_id
         cluster.crash(first)
-        cluster.pass_ms(6000)
+        cluster.advance_ms(6000)
         cluster.commit()
         cluster.boot(first)
-        cluster.pass_ms(3000)
+        cluster.advance_ms(3000)
         assert revisions(cluster) == [2, 2, 2]
 
-    def test_record_counts_at_the_leader_only_once_synced(self):
-        alone = Replica("a", "disk", Members({"a": "disk"}))
-        alone.tick(0)
-        index = alone.propose(b"x")
-        ready = alone.ready()
-        assert alone.take_committed() == []
-        alone.synced(ready)
-        assert [r.index for r in alone.take_committed()] == [1, index]
+    def test_single_voter_commits_only_after_its_sync(self):
+        replica = Replica("a", "disk", Members({"a": "disk"}))
+        replica.tick(0)
+        index = replica.propose(b"x")
+        ready = replica.ready()
+        assert replica.take_committed() == []
+        replica.synced(ready)
+        assert [r.index for r in replica.take_committed()] == [1, index]
 
-    def test_appends_in_flight_are_bounded(self, cluster):
+    def test_inflight_appends_are_limited(self, cluster):
         leader = cluster.leader.replica
         for _ in range(3 * MAX_INFLIGHT_APPENDS):
             leader.propose(b"x")
             leader.flush_if_pending()
             leader.synced(leader.ready())
-        waiting = [len(p.inflight) for p in leader.progress.values()]
-        assert waiting == [MAX_INFLIGHT_APPENDS, MAX_INFLIGHT_APPENDS]
-        cluster.pass_ms(1000)
+        inflight = [len(p.inflight) for p in leader.progress.values()]
+        assert inflight == [MAX_INFLIGHT_APPENDS, MAX_INFLIGHT_APPENDS]
+        cluster.advance_ms(1000)
         cluster.commit()
         assert {n.replica.last_index for n in cluster.up()} == {leader.last_index}
 
-    def test_proposals_that_cannot_commit_are_refused_at_a_bound(self, cluster):
+    def test_proposals_beyond_the_uncommitted_limit_are_refused(self, cluster):
         leader = cluster.leader.replica
-        taken = [leader.propose(b"x") for _ in range(MAX_UNCOMMITTED_RECORDS + 2)]
-        assert taken[MAX_UNCOMMITTED_RECORDS - 1] is not None
-        assert taken[MAX_UNCOMMITTED_RECORDS:] == [None, None]
+        indices = [leader.propose(b"x") for _ in range(MAX_UNCOMMITTED_RECORDS + 2)]
+        assert indices[MAX_UNCOMMITTED_RECORDS - 1] is not None
+        assert indices[MAX_UNCOMMITTED_RECORDS:] == [None, None]
 
-    def test_committed_record_of_another_cluster_stops_the_instance(self, cluster):
+    def test_conflict_with_a_committed_record_raises_identity_mismatch(self, cluster):
         cluster.commit()
         follower = cluster.followers[0].replica
         record = LogRecord(99, follower.commit_index, 1, b"other")
@@ -130,7 +130,7 @@
 
 
 class TestSnapshots:
-    def test_follower_behind_by_hundreds_of_changes_gets_a_snapshot(self, cluster):
+    def test_follower_behind_the_compacted_log_gets_a_snapshot(self, cluster):
         behind = cluster.followers[0]
         cluster.crash(behind.node_id)
         for _ in range(4):
@@ -138,62 +138,62 @@
         cluster.compact(cluster.leader.node_id)
         assert cluster.leader.replica.log.records == []
         cluster.boot(behind.node_id)
-        cluster.pass_ms(3000)
+        cluster.advance_ms(3000)
         assert revisions(cluster) == [400, 400, 400]
         assert behind.disk.snapshot is not None
 
-    def test_transfer_restarts_with_a_newer_snapshot(self, cluster):
+    def test_snapshot_transfer_restarts_with_a_newer_snapshot(self, cluster):
         behind, leader = cluster.followers[0], cluster.leader
         cluster.crash(behind.node_id)
         cluster.commit(20)
         cluster.compact(leader.node_id)
         cluster.boot(behind.node_id)
         while not behind.replica.snapshot_buffer:
-            cluster.pass_ms(25)
+            cluster.advance_ms(25)
         cluster.propose()
-        leader_turns = leader.replica.commit_index
-        while leader.replica.commit_index == leader_turns:
-            cluster.pass_ms(25)
+        commit_index = leader.replica.commit_index
+        while leader.replica.commit_index == commit_index:
+            cluster.advance_ms(25)
         cluster.compact(leader.node_id)
-        cluster.pass_ms(3000)
+        cluster.advance_ms(3000)
         assert revisions(cluster) == [21, 21, 21]
 
-    def test_restart_from_snapshot_and_tail(self, cluster):
+    def test_restart_from_snapshot_and_log_tail(self, cluster):
         cluster.commit(10)
         name = cluster.followers[0].node_id
         cluster.compact(name)
         cluster.commit(5)
         cluster.boot(name)
         assert cluster.nodes[name].state.revision == 10
-        cluster.pass_ms(3000)
+        cluster.advance_ms(3000)
         assert revisions(cluster) == [15, 15, 15]
 
 
 class TestLease:
-    def test_isolated_leader_loses_its_lease_then_its_role(self, cluster):
+    def test_isolated_leader_loses_its_lease_then_steps_down(self, cluster):
         first = cluster.leader
         cluster.cut = {first.node_id}
-        cluster.pass_ms(900)
+        cluster.advance_ms(900)
         assert first.replica.lease_left_ms(cluster.clock(first)) == 0
-        cluster.pass_ms(1000)
+        cluster.advance_ms(1000)
         assert not first.replica.is_leader
 
-    def test_thawed_leader_holds_no_lease(self, cluster):
+    def test_leader_holds_no_lease_after_a_freeze(self, cluster):
         first = cluster.leader
         assert first.replica.lease_left_ms(cluster.clock(first)) > 0
         first.frozen = True
-        cluster.pass_ms(4000)
-        # Frozen it still is in the leader's role: only the clock tells.
+        cluster.advance_ms(4000)
+        # A frozen replica can't step down; only the clock shows that the lease expired.
         assert first.replica.is_leader
         assert first.replica.lease_left_ms(cluster.clock(first)) == 0
 
-    def test_restarted_voter_waits_out_a_lease_that_rests_on_its_word(self, cluster):
+    def test_restarted_voter_waits_for_a_lease_it_may_have_acknowledged(self, cluster):
         voter = cluster.followers[0]
         cluster.boot(voter.node_id)
         voter.replica.now_ms = cluster.clock(voter) + 900
         assert voter.replica.has_recent_leader()
 
-    def test_slow_start_counts_toward_the_wait(self, cluster):
+    def test_start_time_of_the_process_counts_toward_the_wait(self, cluster):
         voter = cluster.followers[0]
         disk, now_ms = voter.disk, cluster.clock(voter)
         restarted = Replica(
@@ -208,48 +208,50 @@
         assert not restarted.has_recent_leader()
         assert restarted.election_at_ms < now_ms + restarted.timing.election_ms
 
-    def test_all_lost_at_once_elect_soon(self, cluster):
+    def test_election_is_fast_after_an_outage_of_all_instances(self, cluster):
         cluster.commit()
         for node in cluster.up():
             cluster.crash(node.node_id)
-        cluster.pass_ms(500)
+        cluster.advance_ms(500)
         for name in ("a", "b", "c"):
             cluster.boot(name)
             replica = cluster.nodes[name].replica
             replica.leader_contact_ms -= 2000
             replica.schedule_early_election()
-        cluster.pass_ms(700)
+        cluster.advance_ms(700)
         assert cluster.leaders()
 
-    def test_those_refused_after_a_start_ask_again_soon(self, cluster):
-        """One that starts 0.3 s later gives no vote yet when the others first ask.
+    def test_refused_pre_vote_after_a_start_is_retried_soon(self, cluster):
+        """Instances that start 0.3 s apart elect a leader without a further timeout.
 
-        A whole timeout more was the rule: 0.68 s on average beyond the last wait
-        that began first, 0.15 s now.
+        The one that starts later refuses the first pre-vote, as it waits for a lease
+        that it may have acknowledged. If the candidate then waited for a full election
+        timeout, the election would take 0.68 s on average after the end of that wait,
+        instead of 0.15 s.
         """
         cluster.commit()
-        beyond_ms = []
+        delays_ms = []
         for _ in range(20):
             for node in cluster.up():
                 cluster.crash(node.node_id)
             cluster.boot("a")
-            cluster.pass_ms(300)
+            cluster.advance_ms(300)
             cluster.boot("b")
-            cluster.pass_ms(1000)
-            began_ms = cluster.now_ms
+            cluster.advance_ms(1000)
+            start_ms = cluster.now_ms
             while not cluster.leaders():
-                cluster.pass_ms(25)
-            beyond_ms.append(cluster.now_ms - began_ms)
-        assert sum(beyond_ms) / len(beyond_ms) < 250
+                cluster.advance_ms(25)
+            delays_ms.append(cluster.now_ms - start_ms)
+        assert sum(delays_ms) / len(delays_ms) < 250
 
-    def test_hand_over_ends_the_lease_and_needs_no_timeout(self, cluster):
+    def test_leadership_transfer_ends_the_lease_and_needs_no_timeout(self, cluster):
         first = cluster.leader
         assert first.replica.transfer_leadership()
         assert first.replica.lease_left_ms(cluster.clock(first)) == 0
-        cluster.pass_ms(100)
+        cluster.advance_ms(100)
         assert cluster.leader is not first
 
-    def test_late_request_to_take_over_is_ignored(self, cluster):
+    def test_timeout_now_of_an_older_term_is_ignored(self, cluster):
         follower = cluster.followers[0].replica
         term = follower.term
         follower.step(cluster.now_ms, TimeoutNow(term - 1, "a"))
@@ -257,71 +259,71 @@
 
 
 class TestMembership:
-    def test_emptied_disk_learns_before_it_votes(self, cluster):
+    def test_replaced_disk_is_a_learner_before_it_votes(self, cluster):
         cluster.commit(5)
         lost = cluster.followers[0]
         old = lost.replica.identity
         cluster.replace_disk(lost.node_id)
         assert lost.replica.role.state == "learner"
-        cluster.pass_ms(5000)
+        cluster.advance_ms(5000)
         members = cluster.leader.replica.members
         assert members.voters[lost.node_id] == lost.replica.identity != old
         assert members.removed == (old,)
         assert revisions(cluster) == [5, 5, 5]
 
-    def test_second_instance_lost_right_after_the_repair(self, cluster):
+    def test_second_instance_is_lost_right_after_the_first_repair(self, cluster):
         cluster.commit(5)
         first, second = cluster.followers
         cluster.replace_disk(first.node_id)
         while not first.replica.is_voter or not cluster.may_lose_disk():
-            cluster.pass_ms(25)
+            cluster.advance_ms(25)
         cluster.crash(second.node_id)
         cluster.commit()
         assert revisions(cluster) == [6, 6]
         cluster.replace_disk(second.node_id)
-        cluster.pass_ms(5000)
+        cluster.advance_ms(5000)
         assert revisions(cluster) == [6, 6, 6]
 
-    def wanted_three(self, cluster):
-        """Boot the spare into a cluster that wants three voters."""
+    def with_spare(self, cluster):
+        """Start a fourth instance in a cluster with three desired voters."""
         cluster.replace_disk("d")
         for node in cluster.up():
             node.replica.desired_voters = 3
-        cluster.pass_ms(3000)
+        cluster.advance_ms(3000)
         return cluster
 
-    def test_spare_learns_while_all_voters_answer(self, cluster):
-        self.wanted_three(cluster).commit(3)
+    def test_spare_is_a_learner_while_all_voters_are_responsive(self, cluster):
+        self.with_spare(cluster).commit(3)
         members = cluster.leader.replica.members
         assert set(members.voters) == {"a", "b", "c"}
         assert set(members.learners) == {"d"}
         assert revisions(cluster) == [3, 3, 3, 3]
 
-    def test_spare_takes_the_place_of_a_silent_voter(self, cluster):
-        self.wanted_three(cluster).commit(3)
+    def test_spare_replaces_an_unresponsive_voter(self, cluster):
+        self.with_spare(cluster).commit(3)
         lost = cluster.followers[0].node_id
         if lost == "d":
             lost = cluster.followers[1].node_id
         cluster.crash(lost)
-        cluster.pass_ms(8000)
+        cluster.advance_ms(8000)
         members = cluster.leader.replica.members
         assert "d" in members.voters and lost not in members.voters
-        # It keeps its disk's identity, so that it may come back as a learner.
+        # Its disk identity is kept, so that it may come back as a learner.
         assert lost in members.learners
         cluster.boot(lost)
         cluster.nodes[lost].replica.desired_voters = 3
-        cluster.pass_ms(3000)
+        cluster.advance_ms(3000)
         cluster.commit()
         assert revisions(cluster) == [4, 4, 4, 4]
 
     def test_observer_never_votes(self, cluster):
-        """An instance without a disk forgets at a restart what it agreed to."""
-        self.wanted_three(cluster)
+        """A restart of an instance without durable storage loses its votes."""
+        self.with_spare(cluster)
         leader = cluster.leader.replica
         leader.handle_join_request(JoinRequest(0, "x", OBSERVER_PREFIX + "1"))
-        cluster.pass_ms(500)
+        cluster.advance_ms(500)
         assert leader.members.learners["x"] == OBSERVER_PREFIX + "1"
-        # Neither in place of a silent voter, nor where voters are missing.
+        # Neither to replace an unresponsive voter nor while voters are missing.
         leader.progress["x"].identity = OBSERVER_PREFIX + "1"
         leader.progress["x"].match_index = leader.commit_index
         leader.is_responsive = lambda node_id: True
@@ -330,53 +332,55 @@
         leader.voters_wanted = 5
         assert not leader.should_promote("x")
 
-    def test_removed_member_neither_disturbs_nor_comes_back(self, cluster):
+    def test_removed_member_neither_deposes_the_leader_nor_rejoins(self, cluster):
         removed = cluster.followers[0]
         leader = cluster.leader
         leader.replica.remove_member(removed.node_id)
-        cluster.pass_ms(5000)
+        cluster.advance_ms(5000)
         term = leader.replica.term
-        cluster.pass_ms(10_000)
+        cluster.advance_ms(10_000)
         assert cluster.leader is leader
         assert leader.replica.term == term
         assert removed.node_id not in leader.replica.members.node_ids()
 
-    def test_change_waits_for_the_last_one_and_for_its_own_majority(self, cluster):
+    def test_change_waits_for_the_previous_one_and_needs_a_majority(self, cluster):
         leader, (first, second) = cluster.leader, cluster.followers
         cluster.cut = {leader.node_id}
         assert leader.replica.remove_member(first.node_id)
         assert leader.replica.remove_member(second.node_id) is None
-        cluster.pass_ms(1500)
+        cluster.advance_ms(1500)
         cluster.cut = set()
-        cluster.pass_ms(5000)
+        cluster.advance_ms(5000)
         cluster.crash(first.node_id)
-        cluster.pass_ms(1500)
-        # Two would be left, one of them down: the change could not commit.
+        cluster.advance_ms(1500)
+        # Of the two remaining voters one would be down, so the change could not commit.
         assert cluster.leader.replica.remove_member(second.node_id) is None
 
-    def test_uncommitted_change_is_undone_with_its_record(self, cluster):
+    def test_uncommitted_change_is_reverted_with_its_record(self, cluster):
         leader = cluster.leader
         before = leader.replica.members
         cluster.cut = {leader.node_id}
         leader.replica.remove_member(cluster.followers[0].node_id)
         assert leader.replica.members != before
-        cluster.pass_ms(4000)
+        cluster.advance_ms(4000)
         cluster.cut = set()
-        cluster.pass_ms(4000)
+        cluster.advance_ms(4000)
         assert leader.replica.members == before
 
-    def test_vote_of_an_emptied_disk_under_the_old_name_counts_nowhere(self, cluster):
+    def test_vote_of_an_emptied_disk_under_its_old_node_id_is_not_counted(
+        self, cluster
+    ):
         first, second = cluster.followers
         cluster.crash(second.node_id)
         cluster.crash(cluster.leader.node_id)
-        first.disk, kept = Disk("empty", Members({})), first.disk
+        first.disk, old_disk = Disk("empty", Members({})), first.disk
         cluster.boot(first.node_id)
-        cluster.pass_ms(10_000)
+        cluster.advance_ms(10_000)
         assert cluster.leaders() == []
         cluster.boot(second.node_id)
-        cluster.pass_ms(10_000)
+        cluster.advance_ms(10_000)
         assert cluster.leaders() == []
-        first.disk = kept
+        first.disk = old_disk
         cluster.boot(first.node_id)
-        cluster.pass_ms(6000)
+        cluster.advance_ms(6000)
         assert len(cluster.leaders()) == 1
--- a/tests/test_consensus_fleet.py
+++ b/tests/test_consensus_fleet.py
@@ -29,8 +29,8 @@
     return json.loads(fleet.run_cli("control", "members", *options))
 
 
-def ask(node, path):
-    """Ask one instance; return the status of its answer."""
+def get_status(node, path):
+    """Send a GET request to one instance; return the HTTP status."""
     token = "lettercraft-token-0123456789"
     headers = {"Authorization": f"Bearer {token}"}
     request = urllib.request.Request(node.http + path, headers=headers)
@@ -45,15 +45,15 @@
     return str(fleet.folder / "settings" / f"{name}.json")
 
 
-def wait_until(holds):
+def wait_until(condition):
     end = time.monotonic() + 20
-    while not holds():
+    while not condition():
         assert time.monotonic() < end
         time.sleep(0.05)
 
 
 class TestControlInstances:
-    def test_lost_disk_rejoins_under_a_new_identity(self, fleet):
+    def test_lost_disk_rejoins_with_a_new_identity(self, fleet):
         before = members(fleet)
         leader = before["leader"]
         lost = next(name for name in fleet.nodes if name != leader)
@@ -61,7 +61,8 @@
         node.process.kill()
         shutil.rmtree(node.settings["data_folder"])
         (fleet.folder / "data" / lost).mkdir()
-        # Neither does an emptied folder start, nor is a second cluster founded.
+        # An instance with an empty folder does not start, and `control init` refuses to
+        # create a second cluster.
         node.process.start()
         assert node.process.popen.wait(10) == 1
         assert "WP103" in node.process.log.read_text()
@@ -75,11 +76,11 @@
         assert len(after) == 3
         assert all(member["votes"] for member in after.values())
         assert after[lost]["identity"] != old[lost]["identity"]
-        # The second instance goes right after the repair.
+        # The cluster tolerates the loss of a second instance right after the repair.
         fleet.nodes[leader].process.kill()
         wait_until(lambda: members(fleet)["leader"] not in ("", leader))
 
-    def test_leader_that_ends_hands_over_and_a_removed_one_stays_out(self, fleet):
+    def test_stopped_leader_transfers_leadership_and_removed_one_stays_out(self, fleet):
         leader = members(fleet)["leader"]
         assert fleet.nodes[leader].process.terminate() == 0
         after = members(fleet)
@@ -93,16 +94,16 @@
         with pytest.raises(RuntimeError, match="WP606"):
             fleet.run_cli("control", "remove", leader, *options)
 
-    def test_frozen_leader_that_thaws_claims_no_lease(self, fleet):
+    def test_leader_serves_no_reads_after_a_freeze(self, fleet):
         before = members(fleet)
         frozen = fleet.nodes[before["leader"]]
         others = [node for node in fleet.nodes.values() if node is not frozen]
         frozen.process.signal(signal.SIGSTOP)
         path = "/v1/control/members"
-        wait_until(lambda: 200 in [ask(node, path) for node in others])
+        wait_until(lambda: 200 in [get_status(node, path) for node in others])
         frozen.process.signal(signal.SIGCONT)
-        # Its answer is made before it has heard of the new term, or after.
-        assert ask(frozen, path) == 503
+        # Holds whether it has already received a message of the new term or not.
+        assert get_status(frozen, path) == 503
         after = members(fleet)
         assert after["leader"] != before["leader"]
         assert after["term"] > before["term"]
--- a/tests/test_operator_client.py
+++ b/tests/test_operator_client.py
@@ -1,4 +1,4 @@
-"""The operator's commands against control instances that lose answers."""
+"""Operator commands against control instances whose responses are lost."""
 
 import json
 import threading
@@ -21,7 +21,7 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """A control instance with one catalogue; `lose` answers are cut."""
+    """A control instance with a catalogue; the next `lose` responses are dropped."""
 
     def do_GET(self):
         self.answer(self.server.catalogue.image())
@@ -74,14 +74,14 @@
 
 
 class TestApply:
-    def test_answer_lost_after_the_commit_changes_nothing_twice(self, server, folder):
+    def test_change_is_accepted_once_if_its_response_is_lost(self, server, folder):
         server.lose = 1
         applied = apply_folder(client_of(server), str(folder), "n1")
         assert (applied.revision, applied.is_new) == (1, True)
         assert len(server.sent) == 2
         assert server.catalogue.revision == 1
 
-    def test_run_after_every_answer_was_lost_finds_the_change(self, server, folder):
+    def test_next_run_finds_the_change_if_all_responses_were_lost(self, server, folder):
         server.lose = 100
         with pytest.raises(CatalogueError) as caught:
             apply_folder(client_of(server), str(folder), "n1")
@@ -91,7 +91,7 @@
         again = apply_folder(client_of(server), str(folder), "n1")
         assert (again.revision, again.is_new) == (1, False)
 
-    def test_used_number_with_other_content_is_a_conflict(self, server, folder):
+    def test_reused_change_id_with_other_content_is_a_conflict(self, server, folder):
         apply_folder(client_of(server), str(folder), "n1")
         write(folder, priority=5)
         with pytest.raises(CatalogueError) as caught:
@@ -106,8 +106,8 @@
         token.write_text("token")
         address = Address(*server.server_address)
         options = ["--control", str(address), "--token-file", str(token)]
-        where = ["catalogue", command, str(folder)]
-        return cli.main([*where, *options, "--owner", "o", *more])
+        command_line = ["catalogue", command, str(folder)]
+        return cli.main([*command_line, *options, "--owner", "o", *more])
 
     def test_diff_shows_keys_and_exits_3(self, server, folder, capsys):
         self.run(server, folder, "apply")
@@ -150,16 +150,16 @@
         ),
     )
 
-    def test_domains_are_summed_and_leaving_nodes_not_waited_for(self):
+    def test_domains_are_aggregated_without_leaving_nodes(self):
         belfast, galway = status_by_domain(self.STATUS)
         assert (galway.revision, galway.current, galway.nodes) == (3, 1, 2)
         assert (galway.serving, galway.replicas) == (1, 2)
         assert (belfast.current, belfast.nodes) == (1, 1)
 
-    def test_table_says_why_a_load_failed(self):
+    def test_table_shows_the_detail_of_a_failed_load(self):
         assert "    WP504 why" in list(status_table(self.STATUS))
 
-    def test_wait_names_who_is_behind(self):
+    def test_wait_error_names_the_lagging_nodes(self):
         client = OperatorClient([], "", "")
         client.status = lambda: self.STATUS
         wait_in_force(client, 3, 0)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -15,7 +15,7 @@
 
 
 class FaultyFiles(Files):
-    """Fails on demand; keeps the order of what was done."""
+    """Files that fail on demand and record the order of the calls."""
 
     def __init__(self):
         self.calls = []
@@ -42,7 +42,7 @@
 
 
 def filled(folder, count=3):
-    """Save `count` batches of one record; return the log's path."""
+    """Save `count` batches of one record; return the path of the log."""
     storage = Storage.open(str(folder))
     storage.save(HardState(1, "a"), ())
     for index in range(1, count + 1):
@@ -73,7 +73,7 @@
         assert storage.hard_state == HardState(3, "a")
         assert [r.data for r in storage.log.records] == [b"x" * 40, b"z"]
 
-    def test_each_cut_of_the_unsynced_tail_is_cut(self, tmp_path):
+    def test_torn_write_is_truncated_at_every_length(self, tmp_path):
         path = filled(tmp_path)
         whole = path.read_bytes()
         start = whole.rindex(record(3).data) - 40
@@ -82,7 +82,7 @@
             indices = [r.index for r in reopened(tmp_path).log.records]
             assert indices in ([1, 2], [1, 2, 3])
 
-    def test_sector_that_never_reached_the_disk_is_cut(self, tmp_path):
+    def test_append_with_a_missing_sector_is_truncated(self, tmp_path):
         path = filled(tmp_path, 2)
         end = path.stat().st_size
         storage = Storage.open(str(tmp_path))
@@ -94,7 +94,7 @@
         assert [r.index for r in reopened(tmp_path).log.records] == [1, 2]
         assert path.stat().st_size <= end + 2 * MARK_BYTES
 
-    def test_every_bit_flip_in_synced_bytes_stops_the_start(self, tmp_path):
+    def test_every_bit_flip_in_synced_bytes_prevents_the_start(self, tmp_path):
         path = filled(tmp_path)
         whole = path.read_bytes()
         for position in range(len(whole) - MARK_BYTES):
@@ -103,9 +103,9 @@
             path.write_bytes(data)
             assert start_code(tmp_path) == ResultCode.LOG_DAMAGED, position
 
-    def test_bit_flip_in_the_last_record_without_its_mark(self, tmp_path):
-        # A record that was acknowledged is never dropped in silence: a crash
-        # may have kept the unsynced mark from the disk.
+    def test_bit_flip_in_the_last_record_without_its_sync_mark(self, tmp_path):
+        # An acknowledged record must never be dropped silently. Its sync mark is not
+        # synced itself, so a crash may leave the record without a mark.
         path = filled(tmp_path)
         whole = path.read_bytes()[:-MARK_BYTES]
         for position in range(
@@ -117,8 +117,8 @@
             assert start_code(tmp_path) == ResultCode.LOG_DAMAGED, position
 
 
-class TestCommitNote:
-    def noted(self, folder):
+class TestCommittedIndex:
+    def write_log(self, folder):
         storage = Storage.open(folder)
         storage.save(HardState(1, "a"), (record(1), record(2)))
         storage.record_committed_index(1)
@@ -128,17 +128,17 @@
         return folder / "log"
 
     def test_is_read_at_the_next_start(self, tmp_path):
-        self.noted(tmp_path)
+        self.write_log(tmp_path)
         assert Storage.open(tmp_path).committed == 3
 
-    def test_torn_note_leaves_the_one_before(self, tmp_path):
-        path = self.noted(tmp_path)
+    def test_torn_write_leaves_the_previous_index(self, tmp_path):
+        path = self.write_log(tmp_path)
         path.write_bytes(path.read_bytes()[:-3])
         storage = Storage.open(tmp_path)
         assert (storage.committed, storage.log.last_index) == (1, 3)
 
     def test_survives_a_snapshot(self, tmp_path):
-        self.noted(tmp_path)
+        self.write_log(tmp_path)
         storage = Storage.open(tmp_path)
         storage.save_snapshot(
             Snapshot(2, 1, Members({}), b"s"), HardState(1, "a"), Log(2, 1, [record(3)])
@@ -157,7 +157,7 @@
             ("fail_fsync", errno.EIO, ResultCode.FSYNC_FAILED),
         ],
     )
-    def test_failure_is_final_and_synced_records_stay(
+    def test_failure_is_permanent_and_synced_records_stay(
         self, tmp_path, kind, number, code
     ):
         files = FaultyFiles()
@@ -168,14 +168,14 @@
             storage.save(None, (record(2),))
         assert caught.value.code == code
         setattr(files, kind, None)
-        done = len(files.calls)
+        call_count = len(files.calls)
         with pytest.raises(StorageError):
             storage.save(None, (record(3),))
-        assert len(files.calls) == done
+        assert len(files.calls) == call_count
         storage.close()
         assert reopened(tmp_path).log.records[0] == record(1)
 
-    def test_one_sync_for_a_group_and_one_each_without(self, tmp_path):
+    def test_grouped_records_share_one_sync(self, tmp_path):
         files = FaultyFiles()
         storage = Storage.open(str(tmp_path), files)
         files.calls.clear()
@@ -187,7 +187,7 @@
 
 
 class TestSnapshotFile:
-    def saved(self, folder, files=None):
+    def with_snapshot(self, folder, files=None):
         storage = Storage.open(str(folder), files)
         storage.save(HardState(2, "b"), tuple(map(record, range(1, 6))))
         storage.log = Log(0, 0, map(record, range(1, 6)))
@@ -196,8 +196,8 @@
         storage.save_snapshot(snapshot, HardState(2, "b"), storage.log)
         return storage
 
-    def test_start_from_snapshot_and_tail(self, tmp_path):
-        storage = self.saved(tmp_path)
+    def test_start_from_snapshot_and_log_tail(self, tmp_path):
+        storage = self.with_snapshot(tmp_path)
         storage.save(None, (record(6),))
         storage.close()
         storage = Storage.open(str(tmp_path))
@@ -208,20 +208,20 @@
         assert storage.hard_state == HardState(2, "b")
 
     @pytest.mark.parametrize("position", [3, 20, -1])
-    def test_damaged_snapshot_stops_the_start(self, tmp_path, position):
-        self.saved(tmp_path).close()
+    def test_damaged_snapshot_prevents_the_start(self, tmp_path, position):
+        self.with_snapshot(tmp_path).close()
         path = tmp_path / "snapshot"
         data = bytearray(path.read_bytes())
         data[position] ^= 4
         path.write_bytes(data)
         assert start_code(tmp_path) == ResultCode.LOG_DAMAGED
 
-    def test_lost_snapshot_stops_the_start(self, tmp_path):
-        self.saved(tmp_path).close()
+    def test_missing_snapshot_prevents_the_start(self, tmp_path):
+        self.with_snapshot(tmp_path).close()
         (tmp_path / "snapshot").unlink()
         assert start_code(tmp_path) == ResultCode.LOG_DAMAGED
 
-    def test_crash_between_snapshot_and_log(self, tmp_path, monkeypatch):
+    def test_crash_between_snapshot_and_log_truncation(self, tmp_path, monkeypatch):
         storage = Storage.open(str(tmp_path))
         storage.save(HardState(2, "b"), (record(1),))
         rename = os.rename
