--- a/src/wisteriapulley/consensus/election.py
+++ b/src/wisteriapulley/consensus/election.py
@@ -36,7 +36,7 @@
         return max(0.0, self.quorum_contact_ms + self.timing.lease_ms - now_ms)
 
     def has_recent_leader(self) -> bool:
-        """Return whether a leader was heard from within the election timeout."""
+        """Return whether a leader message came within the minimum election timeout."""
         if self.is_leader:
             return True
         return self.now_ms - self.leader_contact_ms < self.timing.election_ms
--- a/src/wisteriapulley/consensus/membership.py
+++ b/src/wisteriapulley/consensus/membership.py
@@ -44,8 +44,8 @@
         int or None
             Index of the record, or None if no majority is responsive.
         """
-        alive = sum(map(self.is_responsive, members.voters))
-        if alive < members.quorum_size():
+        responsive = sum(map(self.is_responsive, members.voters))
+        if responsive < members.quorum_size():
             return None
         index = self.append(RecordKind.MEMBERS, msgspec.msgpack.encode(members))
         self.progress = {
@@ -54,7 +54,7 @@
         return index
 
     def is_responsive(self, node_id: str) -> bool:
-        """Return whether a node acknowledged a round of the last election timeout."""
+        """Return whether a node acknowledged a round sent in the last `election_ms`."""
         if node_id == self.node_id:
             return True
         progress = self.progress.get(node_id)
@@ -106,10 +106,10 @@
     def should_promote(self, node_id: str) -> bool:
         """Return whether a learner should become a voter.
 
-        With the desired number of voters, a learner replaces a voter only if that one
-        has been unresponsive for long, so that a responsive set of voters never
-        changes. An instance without durable storage never votes, because a restart
-        loses its votes and acknowledgements.
+        If there are enough voters, a learner replaces one only after that one has been
+        unresponsive for `VOTER_UNRESPONSIVE_AFTER_MS`, so that a responsive set of
+        voters never changes. An instance without durable storage never votes, because a
+        restart loses its votes and acknowledgements.
         """
         if self.members.learners[node_id].startswith(OBSERVER_PREFIX):
             return False
@@ -123,7 +123,7 @@
         )
 
     def is_replaceable(self, node_id: str) -> bool:
-        """Return whether a voter is unresponsive for long enough to be replaced."""
+        """Return whether a voter was unresponsive for `VOTER_UNRESPONSIVE_AFTER_MS`."""
         if node_id == self.node_id:
             return False
         progress = self.progress.get(node_id)
--- a/src/wisteriapulley/consensus/replication.py
+++ b/src/wisteriapulley/consensus/replication.py
@@ -93,7 +93,11 @@
         )
 
     def advance_commit(self) -> None:
-        """Commit the records that a majority has synced, if of the current term."""
+        """Advance the commit index to what a majority has synced.
+
+        Only a record of the current term is committed by counting its copies; earlier
+        records are committed with it.
+        """
         if not self.is_leader:
             return
         matches = sorted(map(self.match_index_of, self.members.voters), reverse=True)
@@ -167,17 +171,17 @@
 
     def handle_snapshot_part(self, message: SnapshotPart) -> None:
         """Collect a part of a snapshot and install the snapshot once it is complete."""
-        held = 0
+        received_bytes = 0
         if message.term >= self.term and not self.is_leader:
             self.follow_leader(message.leader)
-            held = self.collect_snapshot_part(message)
+            received_bytes = self.collect_snapshot_part(message)
         self.send(
             message.leader,
             SnapshotReply(
                 self.term,
                 self.node_id,
                 message.last_index,
-                held,
+                received_bytes,
                 message.round,
                 self.identity,
             ),
@@ -192,11 +196,11 @@
             self.incoming_snapshot, self.snapshot_buffer = key, bytearray()
         if message.offset == len(self.snapshot_buffer):
             self.snapshot_buffer += message.data
-        held = len(self.snapshot_buffer)
-        if held >= message.total:
+        received_bytes = len(self.snapshot_buffer)
+        if received_bytes >= message.total:
             self.install_snapshot(message, bytes(self.snapshot_buffer))
             self.incoming_snapshot, self.snapshot_buffer = (0, 0, 0), bytearray()
-        return held
+        return received_bytes
 
     def install_snapshot(self, message: SnapshotPart, data: bytes) -> None:
         """Replace the log up to a complete snapshot by the snapshot."""
