--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -329,7 +329,7 @@
         leader.is_responsive = lambda node_id: True
         leader.is_replaceable = lambda node_id: node_id != leader.node_id
         assert not leader.should_promote("x")
-        leader.voters_wanted = 5
+        leader.desired_voters = 5
         assert not leader.should_promote("x")
 
     def test_removed_member_neither_deposes_the_leader_nor_rejoins(self, cluster):
