--- a/src/wisteriapulley/catalogue/catalogue.py
+++ b/src/wisteriapulley/catalogue/catalogue.py
@@ -103,7 +103,7 @@
         names = ", ".join(earlier.names)
         message = (
             f"change id {change.change_id!r} was used for other content at revision"
-            f" {earlier.revision}, of {names}; send this change with a new change id"
+            f" {earlier.revision} (entries: {names}); send this change with a new id"
         )
         return ChangeResult(
             ResultCode.CHANGE_ID_CONFLICT, self.revision, message, earlier.accepted()
--- a/src/wisteriapulley/catalogue_commands.py
+++ b/src/wisteriapulley/catalogue_commands.py
@@ -64,10 +64,10 @@
         return EXIT_DIFFERS if lines else EXIT_OK
 
 
-@cappa.command(name="apply", help="Apply a folder of entries to the catalogue.")
+@cappa.command(name="apply", help="Replace the owner's entries by a folder.")
 @dataclass
 class CatalogueApply:
-    """Apply a folder of entries to the catalogue."""
+    """Replace the accepted entries of an owner by those of a folder."""
 
     folder: Folder
     control: Control
--- a/src/wisteriapulley/operator_client.py
+++ b/src/wisteriapulley/operator_client.py
@@ -190,7 +190,7 @@
 def apply_folder(
     client: OperatorClient, folder: str, change_id: str = ""
 ) -> ApplyResult:
-    """Apply a folder of entries to the accepted catalogue.
+    """Replace the accepted entries of the client's owner by those of a folder.
 
     This is idempotent: without a difference nothing is sent, so if a response was
     lost, the next run finds the change accepted. A change that is still in flight is
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -57,7 +57,7 @@
     return storage
 
 
-def start_code(folder):
+def open_error_code(folder):
     with pytest.raises(StorageError) as caught:
         Storage.open(str(folder))
     return caught.value.code
@@ -75,10 +75,10 @@
 
     def test_torn_write_is_truncated_at_every_length(self, tmp_path):
         path = filled(tmp_path)
-        whole = path.read_bytes()
-        start = whole.rindex(record(3).data) - 40
-        for end in range(start, len(whole) - MARK_BYTES):
-            path.write_bytes(whole[:end])
+        content = path.read_bytes()
+        start = content.rindex(record(3).data) - 40
+        for end in range(start, len(content) - MARK_BYTES):
+            path.write_bytes(content[:end])
             indices = [r.index for r in reopened(tmp_path).log.records]
             assert indices in ([1, 2], [1, 2, 3])
 
@@ -96,25 +96,25 @@
 
     def test_every_bit_flip_in_synced_bytes_prevents_the_start(self, tmp_path):
         path = filled(tmp_path)
-        whole = path.read_bytes()
-        for position in range(len(whole) - MARK_BYTES):
-            data = bytearray(whole)
+        content = path.read_bytes()
+        for position in range(len(content) - MARK_BYTES):
+            data = bytearray(content)
             data[position] ^= 1 << (position % 8)
             path.write_bytes(data)
-            assert start_code(tmp_path) == ResultCode.LOG_DAMAGED, position
+            assert open_error_code(tmp_path) == ResultCode.LOG_DAMAGED, position
 
     def test_bit_flip_in_the_last_record_without_its_sync_mark(self, tmp_path):
         # An acknowledged record must never be dropped silently. Its sync mark is not
         # synced itself, so a crash may leave the record without a mark.
         path = filled(tmp_path)
-        whole = path.read_bytes()[:-MARK_BYTES]
+        content = path.read_bytes()[:-MARK_BYTES]
         for position in range(
-            len(whole) - len(record(3).data) - HEADER.size, len(whole)
+            len(content) - len(record(3).data) - HEADER.size, len(content)
         ):
-            data = bytearray(whole)
+            data = bytearray(content)
             data[position] ^= 1 << (position % 8)
             path.write_bytes(data)
-            assert start_code(tmp_path) == ResultCode.LOG_DAMAGED, position
+            assert open_error_code(tmp_path) == ResultCode.LOG_DAMAGED, position
 
 
 class TestCommittedIndex:
@@ -214,12 +214,12 @@
         data = bytearray(path.read_bytes())
         data[position] ^= 4
         path.write_bytes(data)
-        assert start_code(tmp_path) == ResultCode.LOG_DAMAGED
+        assert open_error_code(tmp_path) == ResultCode.LOG_DAMAGED
 
     def test_missing_snapshot_prevents_the_start(self, tmp_path):
         self.with_snapshot(tmp_path).close()
         (tmp_path / "snapshot").unlink()
-        assert start_code(tmp_path) == ResultCode.LOG_DAMAGED
+        assert open_error_code(tmp_path) == ResultCode.LOG_DAMAGED
 
     def test_crash_between_snapshot_and_log_truncation(self, tmp_path, monkeypatch):
         storage = Storage.open(str(tmp_path))
