--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -20,8 +20,8 @@
     async def draw() -> None:
         budget = LinkBudget(link)
         for _ in range(0, size, chunk):
-            await source.take(chunk)
-            await budget.take(chunk)
+            await source.acquire(chunk)
+            await budget.acquire(chunk)
 
     begun_s = time.monotonic()
     await asyncio.gather(*(draw() for _ in range(nodes)))
@@ -36,16 +36,16 @@
 
     async def feed() -> None:
         for number in range(0, size, chunk):
-            await source.take(chunk)
+            await source.acquire(chunk)
             queues[0].put_nowait(number)
 
     async def pass_on(node: int) -> None:
         for _ in range(0, size, chunk):
             number = await queues[node].get()
-            await budgets[node].take(chunk)
+            await budgets[node].acquire(chunk)
             for child in (2 * node + 1, 2 * node + 2):
                 if child < nodes:
-                    await budgets[node].take(chunk)
+                    await budgets[node].acquire(chunk)
                     queues[child].put_nowait(number)
 
     begun_s = time.monotonic()
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -200,7 +200,7 @@
     while not plan.complete:
         now_ms += 20
         for fetch in plan.next_fetches(now_ms):
-            plan.done(fetch.index, now_ms)
+            plan.record_chunk(fetch.index, now_ms)
     return plan, (count + 7) // 8
 
 
--- a/bench/turned_away.py
+++ b/bench/turned_away.py
@@ -37,7 +37,7 @@
 from wisteriapulley.rollout.admission import SlotAdmission
 from wisteriapulley.routing import Route, RouteKind, RoutingTable, Service, Split
 from wisteriapulley.settings import Address
-from wisteriapulley.weights.named import NamedVersions
+from wisteriapulley.weights.desired_versions import DesiredVersions
 from wisteriapulley.wire import Frame, messages
 from wisteriapulley.wire.handshake import Hello, Identity
 from wisteriapulley.wire.messages import TargetState
@@ -375,7 +375,7 @@
         )
         registry = TargetRegistry()
         identity = Identity(settings.node_id, "entry", "z", 1, b"k" * 40)
-        follower = SimpleNamespace(versions=NamedVersions(), open_links=list)
+        follower = SimpleNamespace(versions=DesiredVersions(), open_links=list)
         allocator = SlotAllocator(settings, identity, registry, follower)
         if not self.scenario.plain:
             allocator.sidecars = VirtualSidecars(settings.node_id, self.grantings)
--- a/bench/virtual_burst.py
+++ b/bench/virtual_burst.py
@@ -27,8 +27,10 @@
 NEIGHBOURS = 8
 PATIENCE_MS = 2_000.0
 # One process plays all members here, so it weighs each of them once.
-seeders_module.weights_of = lru_cache(maxsize=None)(seeders_module.weights_of)
-seeders_module.seed_of = lru_cache(maxsize=None)(seeders_module.seed_of)
+seeders_module.rendezvous_weights = lru_cache(maxsize=None)(
+    seeders_module.rendezvous_weights
+)
+seeders_module.hash_seed = lru_cache(maxsize=None)(seeders_module.hash_seed)
 
 
 class VirtualResult(NamedTuple):
@@ -79,7 +81,7 @@
     def receive(self, fetch: Fetch) -> None:
         """Take a chunk in and tell the neighbours soon."""
         burst = self.burst
-        self.schedule.arrived(fetch, burst.now_ms)
+        self.schedule.record_success(fetch, burst.now_ms)
         if not self.news:
             burst.after(TELL_MS, self.tell)
         self.news.append(fetch.index)
--- a/src/wisteriapulley/control/following.py
+++ b/src/wisteriapulley/control/following.py
@@ -23,7 +23,7 @@
 from wisteriapulley.regions import Regions
 from wisteriapulley.routing import Engine, RoutingTable
 from wisteriapulley.settings import Address, NodeSettings
-from wisteriapulley.weights.named import NamedVersions
+from wisteriapulley.weights.desired_versions import DesiredVersions
 from wisteriapulley.wire import Frame, Link, broadcast, messages
 from wisteriapulley.wire.handshake import Identity
 from wisteriapulley.wire.keeper import LinkKeeper
@@ -115,7 +115,7 @@
         self.follow_routing = follow_routing
         self.table = RoutingTable(0)
         self.fresh = False
-        self.versions = NamedVersions()
+        self.versions = DesiredVersions()
         self.engines: dict[str, Engine] = {}
         # Failure domain of each known instance by host; empty if unknown.
         self.instances: dict[str, str] = {}
@@ -344,7 +344,7 @@
         self, model: str, named: messages.VersionAge, now_s: float
     ) -> None:
         """Record a desired version and the earliest time at which it was accepted."""
-        if self.versions.note(model, named.version, now_s - named.age_ms / 1000):
+        if self.versions.record(model, named.version, now_s - named.age_ms / 1000):
             log.info(
                 "weights named",
                 extra=fields(model=model, version=named.version, age_ms=named.age_ms),
--- a/src/wisteriapulley/control/news.py
+++ b/src/wisteriapulley/control/news.py
@@ -15,7 +15,7 @@
 from wisteriapulley.regions import Regions
 from wisteriapulley.routing import Engine, Origin, RoutingTable
 from wisteriapulley.settings import ControlSettings
-from wisteriapulley.weights.named import NamedVersions
+from wisteriapulley.weights.desired_versions import DesiredVersions
 from wisteriapulley.wire import Frame, Link, messages
 
 # A follower that asks for the table waits no longer for a quorum's word on it.
@@ -63,7 +63,7 @@
         self.tell_peers = tell_peers
         self.feed = TargetFeed(self.targets, self.followers, tell_peers)
         self.suspects = SuspectFeed(self.followers, tell_peers)
-        self.versions = NamedVersions()
+        self.versions = DesiredVersions()
         self.told_routing = 0
         self.told_models: list[messages.ModelState] = []
         self.told_hosts = messages.ControlNews()
@@ -74,7 +74,7 @@
     def restored(self) -> None:
         """Take in what the disk held: it was named before this start, long ago."""
         for model, version in self.state.weights.items():
-            self.versions.note(model, version, steady_ms() - LONG_AGO_MS)
+            self.versions.record(model, version, steady_ms() - LONG_AGO_MS)
         self.flush()
 
     def origin(self) -> Origin | None:
@@ -114,7 +114,7 @@
     def note_weights(self) -> bool:
         """Note since when each version of weights is in force here."""
         for model, version in self.state.weights.items():
-            if self.versions.note(model, version, steady_ms()):
+            if self.versions.record(model, version, steady_ms()):
                 self.on_weights(model, version)
         states = [
             state._replace(named=tuple(named.version for named in state.named))
@@ -137,7 +137,7 @@
             (state.model, named.version)
             for state in message.models
             for named in state.named
-            if self.versions.note(state.model, named.version, now_ms - named.age_ms)
+            if self.versions.record(state.model, named.version, now_ms - named.age_ms)
         ]
         for key in new:
             self.on_weights(*key)
@@ -165,7 +165,7 @@
             engine.model,
             tuple(
                 messages.VersionAge(version, int(now_ms - since_ms))
-                for version, since_ms in self.versions.of(engine.model)
+                for version, since_ms in self.versions.versions_of(engine.model)
             ),
             engine.slots,
             engine.stride,
--- a/src/wisteriapulley/control/pieces.py
+++ b/src/wisteriapulley/control/pieces.py
@@ -10,7 +10,7 @@
 from wisteriapulley.weights.download import PieceHolder
 from wisteriapulley.weights.origin import OriginHolder
 from wisteriapulley.weights.pieces import PieceSource
-from wisteriapulley.weights.relay import LinkSource, Relay, reply_of
+from wisteriapulley.weights.relay import LinkHolder, Relay, manifest_reply
 from wisteriapulley.wire import Frame, Link, messages
 
 # A version whose manifest alone was asked for is drawn after so long. Engines that
@@ -67,7 +67,7 @@
         upstream = self.upstream(self.regions.of(origin.failure_domain))
         if upstream is None:
             return [direct]
-        return [LinkSource(upstream), direct]
+        return [LinkHolder(upstream), direct]
 
     def upstream(self, home: str) -> Link | None:
         """Return the instance to take pieces from; None for the origin itself.
@@ -95,8 +95,8 @@
         self, query: messages.ManifestQuery, link: Link, frame: Frame
     ) -> None:
         """Answer with a manifest, and fetch its pieces soon."""
-        manifest = await self.relay.manifest_soon(query.model, query.version)
-        link.post(reply_of(manifest), reply_to=frame.id)
+        manifest = await self.relay.wait_manifest(query.model, query.version)
+        link.post(manifest_reply(manifest), reply_to=frame.id)
         self.draw_ahead(manifest.model, manifest.version)
 
     def draw_ahead(self, model: str, version: int) -> None:
@@ -112,7 +112,7 @@
         self, query: messages.HeldQuery, link: Link, frame: Frame
     ) -> None:
         """Answer which pieces of a version are held here."""
-        link.post(await self.relay.held_soon(query), reply_to=frame.id)
+        link.post(await self.relay.wait_held(query), reply_to=frame.id)
 
     async def answer_piece(
         self, query: messages.PieceQuery, link: Link, frame: Frame
--- a/src/wisteriapulley/direct/slot_allocation.py
+++ b/src/wisteriapulley/direct/slot_allocation.py
@@ -408,7 +408,7 @@
 
     def version_left_ms(self, model: str, version: int) -> float | None:
         """Return how long requests may still start on a version; None for no limit."""
-        superseded_s = self.follower.versions.replaced_at(model, version)
+        superseded_s = self.follower.versions.superseded_at(model, version)
         if superseded_s is None:
             return None
         return self.settings.old_version_ms - (steady_s() - superseded_s) * 1000
--- a/src/wisteriapulley/rollout/staging.py
+++ b/src/wisteriapulley/rollout/staging.py
@@ -14,7 +14,7 @@
 from wisteriapulley.rollout.engine import EngineClient
 from wisteriapulley.weights.download import Download, PieceHolder
 from wisteriapulley.weights.pieces import PieceManifest
-from wisteriapulley.weights.relay import STALLED_S, held_over
+from wisteriapulley.weights.relay import UPSTREAM_STALLED_AFTER_S, query_held_pieces
 from wisteriapulley.wire import Link, messages
 
 log = logging.getLogger(__name__)
@@ -101,12 +101,12 @@
         self.link = link
         self.name = link.peer_id
         self.key = link
-        self.at_once = MAX_PIECES_IN_FLIGHT
+        self.max_in_flight = MAX_PIECES_IN_FLIGHT
         self.rate = rate
 
-    async def held(self, manifest: PieceManifest, known: int) -> frozenset[int]:
+    async def held_pieces(self, manifest: PieceManifest, known: int) -> frozenset[int]:
         """Return the pieces that the instance holds, after a pause."""
-        held = await held_over(self.link, manifest, known)
+        held = await query_held_pieces(self.link, manifest, known)
         await asyncio.sleep(HELD_QUERY_INTERVAL_S)
         return held
 
@@ -272,7 +272,7 @@
     async def verify_piece(self, manifest: PieceManifest, position: int) -> bool:
         """Read a piece back; return whether it matches the manifest."""
         data = await self.engine.staged_piece(manifest.model, position)
-        if data is not None and manifest.fits(position, data):
+        if data is not None and manifest.matches(position, data):
             self.digests[position] = manifest.digests[position]
             return True
         self.digests.pop(position, None)
@@ -358,7 +358,7 @@
         """
         links = self.upstream()
         near = [link for link in links if self.is_near(link)]
-        if near and stalled_s < STALLED_S:
+        if near and stalled_s < UPSTREAM_STALLED_AFTER_S:
             links = near
         return [ControlPieceHolder(link, self.rate) for link in links]
 
--- a/src/wisteriapulley/rollout/state.py
+++ b/src/wisteriapulley/rollout/state.py
@@ -59,7 +59,7 @@
         if engine is None:
             return None
         versions = self.follower.versions
-        since_s = versions.replaced_at(engine.model, self.held_version())
+        since_s = versions.superseded_at(engine.model, self.held_version())
         return None if since_s is None else (steady_s() - since_s) * 1000
 
     def update_targets(self, states: Iterable[messages.TargetState]) -> None:
--- a/src/wisteriapulley/sidecar/service.py
+++ b/src/wisteriapulley/sidecar/service.py
@@ -197,7 +197,7 @@
             self.server.beat()
         self.last_heartbeat = heartbeat
         entry = self.switcher.desired_entry()
-        download = self.swarm.copy
+        download = self.swarm.download
         self.control.send_report(
             messages.Report(
                 self.settings.node_id,
@@ -207,7 +207,7 @@
                 self.chart.state,
                 self.gate.version,
                 entry.version if entry is not None else "",
-                download.bytes_shown if download is not None else 0,
+                download.reported_bytes if download is not None else 0,
                 download.manifest.size if download is not None else 0,
                 self.switcher.detail,
                 "sidecar",
@@ -278,7 +278,7 @@
         self, message: messages.HaveQuery, link: Link, frame: Frame
     ) -> None:
         """Handle the message `HaveQuery`."""
-        self.swarm.receive_query(link, message)
+        self.swarm.receive_have_query(link, message)
 
     @receive.register
     async def receive_chunk_query(
--- a/src/wisteriapulley/sidecar/switch.py
+++ b/src/wisteriapulley/sidecar/switch.py
@@ -202,7 +202,7 @@
         """Return why the target does not serve the catalogue's version yet."""
         if self.load_backoff.version == entry.version:
             return self.load_backoff.reason
-        return self.swarm.trouble() or self.download_error
+        return self.swarm.error_text() or self.download_error
 
     async def observe_engine(self) -> EngineState:
         """Read the engine's state and check it against the gate.
@@ -253,7 +253,7 @@
 
     async def download(self, entry: Entry) -> None:
         """Download a version completely and verify it."""
-        self.swarm.serving = self.gate.version or self.last_served_version
+        self.swarm.serving_version = self.gate.version or self.last_served_version
         try:
             manifest = await self.swarm.fetch_version(entry.version, entry.distribution)
         except WisteriapulleyError as error:
@@ -396,7 +396,7 @@
             raise
         self.open_gate(version, "loaded")
         if version == self.complete_version:
-            self.swarm.serving = version
+            self.swarm.serving_version = version
             self.swarm.keep_only({version})
 
     async def check_lease(self, version: str) -> None:
--- a/src/wisteriapulley/weights/have.py
+++ b/src/wisteriapulley/weights/chunk_bitmap.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable
 
-TELL_EVERY_S = 0.05
+PUBLISH_INTERVAL_S = 0.05
 
 
 def pack_bitmap(indexes: Iterable[int], length: int) -> bytes:
--- a/src/wisteriapulley/weights/chunk_store.py
+++ b/src/wisteriapulley/weights/chunk_store.py
@@ -49,12 +49,12 @@
         if digest in self.sizes:
             return
         if self.limit_bytes and self.size + len(data) > self.limit_bytes:
-            raise self.full(len(data))
+            raise self.full_error(len(data))
         self.write(digest, data)
         self.sizes[digest] = len(data)
         self.size += len(data)
 
-    def full(self, wanted: int) -> WeightsError:
+    def full_error(self, wanted: int) -> WeightsError:
         """Make the error that says that the store has no room."""
         return WeightsError(
             ResultCode.CHUNK_STORE_FULL,
@@ -67,7 +67,7 @@
         """Return a chunk, or None."""
         return self.chunks.get(digest)
 
-    def check(self, digest: str) -> bool:
+    def verify(self, digest: str) -> bool:
         """Tell whether a chunk is here and verified."""
         return digest in self.sizes
 
@@ -107,7 +107,7 @@
         self, manifest: Manifest, path: str, start: int, end: int
     ) -> Iterator[bytes]:
         """Yield bytes ``start`` to ``end`` of a file, chunk by chunk."""
-        for span in overlapping(manifest, path, start, end):
+        for span in overlapping_spans(manifest, path, start, end):
             data = self.get(span.digest)
             if data is None:
                 raise WeightsError(
@@ -116,7 +116,9 @@
             yield data[max(0, start - span.offset) : end - span.offset]
 
 
-def overlapping(manifest: Manifest, path: str, start: int, end: int) -> Iterator[Span]:
+def overlapping_spans(
+    manifest: Manifest, path: str, start: int, end: int
+) -> Iterator[Span]:
     """Yield the chunks of a file that hold some of ``start`` to ``end``."""
     for span in manifest.spans:
         if span.path == path and span.offset < end and start < span.end:
@@ -177,6 +179,6 @@
             return None
         return data
 
-    def check(self, digest: str) -> bool:
+    def verify(self, digest: str) -> bool:
         """Tell whether a chunk is here and its bytes still match."""
         return self.get(digest) is not None
--- a/src/wisteriapulley/weights/download.py
+++ b/src/wisteriapulley/weights/download.py
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 # Sources come and go: an instance dies, a nearer one is found.
-SOURCES_S = 0.25
+HOLDER_REFRESH_S = 0.25
 
 
 class PieceHolder(Protocol):
@@ -39,9 +39,9 @@
 
     name: str
     key: Hashable
-    at_once: int
+    max_in_flight: int
 
-    async def held(self, manifest: PieceManifest, known: int) -> frozenset[int]:
+    async def held_pieces(self, manifest: PieceManifest, known: int) -> frozenset[int]:
         """Return the pieces that it holds, once they are more than `known`.
 
         Raises
@@ -60,7 +60,7 @@
         """
 
 
-class Source:
+class HolderState:
     """A holder, as far as a download knows it.
 
     Attributes
@@ -79,16 +79,16 @@
     def __init__(self, holder: PieceHolder):
         self.holder = holder
         self.held: frozenset[int] = frozenset()
-        self.flying = 0
+        self.in_flight = 0
         self.failed = False
-        self.asked_again_s = 0.0
-        self.watching: asyncio.Task | None = None
+        self.retry_at_s = 0.0
+        self.watch_task: asyncio.Task | None = None
 
-    def may_be_asked(self, now_s: float) -> bool:
+    def can_ask(self, now_s: float) -> bool:
         """Tell whether another piece may be asked of it now."""
         if self.failed:
-            return self.flying == 0 and now_s >= self.asked_again_s
-        return self.flying < self.holder.at_once
+            return self.in_flight == 0 and now_s >= self.retry_at_s
+        return self.in_flight < self.holder.max_in_flight
 
 
 class Download:
@@ -115,7 +115,7 @@
         manifest: PieceManifest,
         missing: Iterable[int],
         holders: Callable[[float], list[PieceHolder]],
-        keep: Callable[[int, bytes], Awaitable[None]],
+        store: Callable[[int, bytes], Awaitable[None]],
         in_flight: int,
         retry_s: float,
     ):
@@ -123,125 +123,129 @@
         # In the order in which they are asked for; one that failed comes first.
         self.missing = dict.fromkeys(sorted(missing))
         self.holders = holders
-        self.keep = keep
+        self.store = store
         self.in_flight = in_flight
         self.retry_s = retry_s
-        self.sources: dict[Hashable, Source] = {}
-        self.asked: set[int] = set()
-        self.news = asyncio.Event()
-        self.came_s = steady_s()
+        self.holder_states: dict[Hashable, HolderState] = {}
+        self.requested: set[int] = set()
+        self.changed = asyncio.Event()
+        self.last_piece_s = steady_s()
 
     async def run(self) -> None:
         """Fetch all that is missing, however long it takes."""
-        self.turn_to_holders()
+        self.refresh_holders()
         async with asyncio.TaskGroup() as group:
-            looking = group.create_task(self.look_for_holders())
-            workers = [group.create_task(self.work()) for _ in range(self.in_flight)]
+            looking = group.create_task(self.refresh_holders_periodically())
+            workers = [
+                group.create_task(self.run_worker()) for _ in range(self.in_flight)
+            ]
             try:
                 await asyncio.gather(*workers)
             finally:
                 looking.cancel()
-                for source in self.sources.values():
-                    source.watching.cancel()
+                for source in self.holder_states.values():
+                    source.watch_task.cancel()
 
     def keep_only(self, missing: Iterable[int]) -> None:
         """Leave out pieces that are missing no more."""
         wanted = set(missing)
         self.missing = {p: None for p in self.missing if p in wanted}
-        self.news.set()
+        self.changed.set()
 
     def stalled_s(self) -> float:
         """Return the seconds since a piece last came."""
-        return steady_s() - self.came_s
+        return steady_s() - self.last_piece_s
 
     # -- who holds what --------------------------------------------------
 
-    async def look_for_holders(self) -> None:
+    async def refresh_holders_periodically(self) -> None:
         """Turn to other holders as they come and go."""
         while True:
-            await asyncio.sleep(SOURCES_S)
-            self.turn_to_holders()
+            await asyncio.sleep(HOLDER_REFRESH_S)
+            self.refresh_holders()
 
-    def turn_to_holders(self) -> None:
+    def refresh_holders(self) -> None:
         """Watch those that may be asked now, and no others."""
         holders = {h.key: h for h in self.holders(self.stalled_s())}
-        for key in set(self.sources) - set(holders):
-            self.sources.pop(key).watching.cancel()
+        for key in set(self.holder_states) - set(holders):
+            self.holder_states.pop(key).watch_task.cancel()
         loop = asyncio.get_running_loop()
         for key, holder in holders.items():
-            if key not in self.sources:
-                source = self.sources[key] = Source(holder)
-                source.watching = loop.create_task(self.watch(source))
+            if key not in self.holder_states:
+                source = self.holder_states[key] = HolderState(holder)
+                source.watch_task = loop.create_task(self.watch_held_pieces(source))
 
-    async def watch(self, source: Source) -> None:
+    async def watch_held_pieces(self, source: HolderState) -> None:
         """Know what a source holds until it holds everything."""
         total = len(self.manifest.digests)
         while len(source.held) < total:
             try:
-                source.held = await source.holder.held(self.manifest, len(source.held))
-                self.news.set()
+                source.held = await source.holder.held_pieces(
+                    self.manifest, len(source.held)
+                )
+                self.changed.set()
             except WisteriapulleyError as error:
                 log.info("%s told no pieces: %s", source.holder.name, error)
                 await asyncio.sleep(self.retry_s)
 
     # -- fetching --------------------------------------------------------
 
-    async def work(self) -> None:
+    async def run_worker(self) -> None:
         """Fetch one piece after another."""
         while self.missing:
             now_s = steady_s()
-            chosen = self.choose(now_s)
+            chosen = self.choose_piece(now_s)
             if chosen is None:
-                await self.wait_for_news()
+                await self.wait_for_change()
                 continue
             position, source = chosen
             await self.fetch(position, source)
-        self.news.set()
+        self.changed.set()
 
-    def choose(self, now_s: float) -> tuple[int, Source] | None:
+    def choose_piece(self, now_s: float) -> tuple[int, HolderState] | None:
         """Choose a piece that can be had, and whom to ask for it."""
         sources = sorted(
-            (s for s in self.sources.values() if s.may_be_asked(now_s)),
-            key=lambda source: source.flying,
+            (s for s in self.holder_states.values() if s.can_ask(now_s)),
+            key=lambda source: source.in_flight,
         )
         for position in self.missing:
-            if position in self.asked:
+            if position in self.requested:
                 continue
             for source in sources:
                 if position in source.held:
                     return position, source
         return None
 
-    async def wait_for_news(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait until there is something to choose again."""
-        self.news.clear()
+        self.changed.clear()
         with contextlib.suppress(TimeoutError):
-            failed = any(source.failed for source in self.sources.values())
-            async with asyncio.timeout(self.retry_s if failed else SOURCES_S):
-                await self.news.wait()
+            failed = any(source.failed for source in self.holder_states.values())
+            async with asyncio.timeout(self.retry_s if failed else HOLDER_REFRESH_S):
+                await self.changed.wait()
 
-    async def fetch(self, position: int, source: Source) -> None:
+    async def fetch(self, position: int, source: HolderState) -> None:
         """Fetch one piece from a source; one that did not come stays missing."""
         manifest = self.manifest
-        self.asked.add(position)
-        source.flying += 1
+        self.requested.add(position)
+        source.in_flight += 1
         try:
             data = await source.holder.piece(manifest.model, manifest.version, position)
             data = manifest.check(position, data)
         except WisteriapulleyError as error:
-            self.not_had(position, source, error)
+            self.record_failure(position, source, error)
             return
         finally:
-            source.flying -= 1
-            self.asked.discard(position)
+            source.in_flight -= 1
+            self.requested.discard(position)
         source.failed = False
-        self.came_s = steady_s()
+        self.last_piece_s = steady_s()
         self.missing.pop(position, None)
-        await self.keep(position, data)
-        self.news.set()
+        await self.store(position, data)
+        self.changed.set()
 
-    def not_had(
-        self, position: int, source: Source, error: WisteriapulleyError
+    def record_failure(
+        self, position: int, source: HolderState, error: WisteriapulleyError
     ) -> None:
         """Ask again soon: a spoilt piece at once, a silent source after a pause."""
         log.info("piece not had: %s", error, extra=fields(code=error.code))
@@ -249,5 +253,5 @@
             self.missing = {position: None} | self.missing
         if error.code is not ResultCode.CHUNK_CORRUPTED:
             source.failed = True
-            source.asked_again_s = steady_s() + self.retry_s
-        self.news.set()
+            source.retry_at_s = steady_s() + self.retry_s
+        self.changed.set()
--- a/src/wisteriapulley/weights/manifest.py
+++ b/src/wisteriapulley/weights/manifest.py
@@ -79,11 +79,11 @@
             manifest = msgspec.json.decode(data, type=cls)
         except msgspec.DecodeError as error:
             raise WeightsError(ResultCode.MANIFEST_INVALID, str(error)) from error
-        for fault in manifest.faults():
+        for fault in manifest.validation_errors():
             raise WeightsError(ResultCode.MANIFEST_INVALID, fault)
         return manifest
 
-    def faults(self) -> Iterator[str]:
+    def validation_errors(self) -> Iterator[str]:
         """Yield what is wrong with it."""
         if self.chunk_bytes <= 0:
             yield f"chunk_bytes: expected above 0, got {self.chunk_bytes}"
@@ -118,10 +118,10 @@
     def spans(self) -> tuple[Span, ...]:
         """Every chunk in order."""
         return tuple(
-            Span(index, *rest) for index, rest in enumerate(self.place_chunks())
+            Span(index, *rest) for index, rest in enumerate(self.locate_chunks())
         )
 
-    def place_chunks(self) -> Iterator[tuple[str, str, int, int]]:
+    def locate_chunks(self) -> Iterator[tuple[str, str, int, int]]:
         """Yield digest, path, offset and length of each chunk."""
         for file in self.files:
             for number, digest in enumerate(file.chunks):
--- a/src/wisteriapulley/weights/origin.py
+++ b/src/wisteriapulley/weights/origin.py
@@ -14,12 +14,12 @@
 
     name = key = "origin"
     # Fills a link of 10 Mbit/s with a few milliseconds of latency.
-    at_once = 4
+    max_in_flight = 4
 
     def __init__(self, source: PieceSource):
         self.source = source
 
-    async def held(self, manifest: PieceManifest, known: int) -> frozenset[int]:
+    async def held_pieces(self, manifest: PieceManifest, known: int) -> frozenset[int]:
         """Return all pieces; see `download.PieceHolder`."""
         return frozenset(range(len(manifest.digests)))
 
--- a/src/wisteriapulley/weights/pace.py
+++ b/src/wisteriapulley/weights/pace.py
@@ -10,17 +10,17 @@
 from collections.abc import Callable
 
 # Timers of a busy loop fire late; this much idle time is made good afterwards.
-SLACK_S = 0.05
+MAX_IDLE_CREDIT_S = 0.05
 # Live requests push weights back, but not for ever: a target whose live load
 # fills its link must still get the new version within the hour.
 MAX_LIVE_DEBT_S = 0.5
 # A part occupies the link for about this long, so a live answer waits for less.
-PART_S = 0.02
-SMALLEST_PART_BYTES = 16 << 10
-LARGEST_PART_BYTES = 256 << 10
+PART_DURATION_S = 0.02
+MIN_PART_BYTES = 16 << 10
+MAX_PART_BYTES = 256 << 10
 
 
-class Pace:
+class Pacer:
     """When bytes may pass a link of one rate.
 
     Parameters
@@ -31,23 +31,23 @@
 
     def __init__(self, bytes_per_s: float):
         self.bytes_per_s = bytes_per_s
-        self.next_s = 0.0
+        self.free_at_s = 0.0
 
     def delay(self, now_s: float) -> float:
         """Return the seconds until more bytes may pass."""
-        return max(0.0, self.next_s - now_s)
+        return max(0.0, self.free_at_s - now_s)
 
     def charge(self, count: int, now_s: float) -> None:
         """Occupy the link with `count` bytes."""
         if self.bytes_per_s:
-            start_s = max(self.next_s, now_s - SLACK_S)
-            self.next_s = start_s + count / self.bytes_per_s
+            start_s = max(self.free_at_s, now_s - MAX_IDLE_CREDIT_S)
+            self.free_at_s = start_s + count / self.bytes_per_s
 
     def charge_live(self, count: int, now_s: float) -> None:
         """Occupy the link with bytes of live requests, which never wait."""
-        before_s = self.next_s
+        before_s = self.free_at_s
         self.charge(count, now_s)
-        self.next_s = min(self.next_s, max(before_s, now_s + MAX_LIVE_DEBT_S))
+        self.free_at_s = min(self.free_at_s, max(before_s, now_s + MAX_LIVE_DEBT_S))
 
 
 class LinkBudget:
@@ -62,33 +62,33 @@
     """
 
     def __init__(self, bytes_per_s: float, live_bytes: Callable[[], int] = lambda: 0):
-        self.pace = Pace(bytes_per_s)
+        self.pacer = Pacer(bytes_per_s)
         self.live_bytes = live_bytes
-        self.live_seen = 0
+        self.charged_live_bytes = 0
         self.lock = asyncio.Lock()
-        self.taken = 0
+        self.acquired_bytes = 0
 
     @property
     def part_bytes(self) -> int:
         """Bytes of one part of a chunk on the wire."""
-        if not self.pace.bytes_per_s:
-            return LARGEST_PART_BYTES
-        wanted = int(self.pace.bytes_per_s * PART_S)
-        return min(LARGEST_PART_BYTES, max(SMALLEST_PART_BYTES, wanted))
+        if not self.pacer.bytes_per_s:
+            return MAX_PART_BYTES
+        wanted = int(self.pacer.bytes_per_s * PART_DURATION_S)
+        return min(MAX_PART_BYTES, max(MIN_PART_BYTES, wanted))
 
-    async def take(self, count: int) -> None:
+    async def acquire(self, count: int) -> None:
         """Wait in turn until `count` bytes of weights may pass."""
         async with self.lock:
-            self.see_live()
-            while (delay_s := self.pace.delay(time.monotonic())) > 0:
+            self.charge_live()
+            while (delay_s := self.pacer.delay(time.monotonic())) > 0:
                 await asyncio.sleep(delay_s)
-                self.see_live()
-            self.pace.charge(count, time.monotonic())
-            self.taken += count
+                self.charge_live()
+            self.pacer.charge(count, time.monotonic())
+            self.acquired_bytes += count
 
-    def see_live(self) -> None:
+    def charge_live(self) -> None:
         """Charge what live requests moved since the last look."""
         total = self.live_bytes()
-        if total > self.live_seen:
-            self.pace.charge_live(total - self.live_seen, time.monotonic())
-        self.live_seen = total
+        if total > self.charged_live_bytes:
+            self.pacer.charge_live(total - self.charged_live_bytes, time.monotonic())
+        self.charged_live_bytes = total
--- a/src/wisteriapulley/weights/pieces.py
+++ b/src/wisteriapulley/weights/pieces.py
@@ -29,7 +29,7 @@
     layers: int
     digests: tuple[bytes, ...]
 
-    def fits(self, position: int, data: bytes) -> bool:
+    def matches(self, position: int, data: bytes) -> bool:
         """Tell whether `data` is the piece at `position`."""
         return hashlib.sha256(data).digest() == self.digests[position]
 
@@ -41,7 +41,7 @@
         WeightsError
             CHUNK_CORRUPTED.
         """
-        if not self.fits(position, data):
+        if not self.matches(position, data):
             raise WeightsError(
                 ResultCode.CHUNK_CORRUPTED,
                 f"{self.model} version {self.version} piece {position}: expected"
--- a/src/wisteriapulley/weights/seeders.py
+++ b/src/wisteriapulley/weights/seeders.py
@@ -11,10 +11,10 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-SLOTS = 512
+HASH_SLOTS = 512
 # The origin's link carries about four copies in a window.
-MOST_COPIES = 4
-MASK = (1 << 64) - 1
+MAX_ORIGIN_COPIES = 4
+UINT64_MASK = (1 << 64) - 1
 
 
 class Peer(NamedTuple):
@@ -24,34 +24,34 @@
     failure_domain: str
 
 
-def seed_of(text: str) -> int:
+def hash_seed(text: str) -> int:
     """Return a stable number of a name."""
     data = text.encode()
     return zlib.crc32(data) << 32 | zlib.crc32(data, 0x9E3779B9)
 
 
-def mix(value: int) -> int:
+def splitmix64(value: int) -> int:
     """Scramble a 64-bit number (splitmix64)."""
-    value = (value + 0x9E3779B97F4A7C15) & MASK
-    value = ((value ^ value >> 30) * 0xBF58476D1CE4E5B9) & MASK
-    value = ((value ^ value >> 27) * 0x94D049BB133111EB) & MASK
+    value = (value + 0x9E3779B97F4A7C15) & UINT64_MASK
+    value = ((value ^ value >> 30) * 0xBF58476D1CE4E5B9) & UINT64_MASK
+    value = ((value ^ value >> 27) * 0x94D049BB133111EB) & UINT64_MASK
     return value ^ value >> 31
 
 
-def slot_of(digest: str) -> int:
+def hash_slot(digest: str) -> int:
     """Return the slot of a chunk."""
-    return int(digest[:8], 16) % SLOTS
+    return int(digest[:8], 16) % HASH_SLOTS
 
 
-def weight(slot: int, seed: int) -> int:
+def rendezvous_weight(slot: int, seed: int) -> int:
     """Weigh a member for a slot; the highest ranks first."""
-    return mix(seed ^ mix(slot))
+    return splitmix64(seed ^ splitmix64(slot))
 
 
-def weights_of(node_id: str) -> tuple[int, ...]:
+def rendezvous_weights(node_id: str) -> tuple[int, ...]:
     """Weigh a member for every slot."""
-    seed = seed_of(node_id)
-    return tuple(weight(slot, seed) for slot in range(SLOTS))
+    seed = hash_seed(node_id)
+    return tuple(rendezvous_weight(slot, seed) for slot in range(HASH_SLOTS))
 
 
 class Seeders:
@@ -65,56 +65,60 @@
 
     def __init__(self, me: Peer):
         self.me = me
-        self.mine = weights_of(me.node_id)
-        self.overall = [0] * SLOTS
-        self.in_domain = [0] * SLOTS
+        self.own_weights = rendezvous_weights(me.node_id)
+        self.ranks = [0] * HASH_SLOTS
+        self.domain_ranks = [0] * HASH_SLOTS
         self.members: dict[str, Peer] = {}
-        self.leading: list[bool] = [True] * SLOTS
+        self.draws_own_copy: list[bool] = [True] * HASH_SLOTS
 
     def set_members(self, members: Iterable[Peer]) -> None:
         """Rank this instance among `members`."""
         wanted = {peer.node_id: peer for peer in members if peer != self.me}
         for node_id in [n for n in self.members if wanted.get(n) != self.members[n]]:
-            self.count(self.members.pop(node_id), -1)
+            self.update_ranks(self.members.pop(node_id), -1)
         for node_id in wanted.keys() - self.members.keys():
             self.members[node_id] = wanted[node_id]
-            self.count(wanted[node_id], 1)
+            self.update_ranks(wanted[node_id], 1)
         domains = {peer.failure_domain for peer in self.members.values()}
         domains.add(self.me.failure_domain)
-        self.leading = leading_slots(self.me.failure_domain, tuple(sorted(domains)))
+        self.draws_own_copy = slots_with_own_copy(
+            self.me.failure_domain, tuple(sorted(domains))
+        )
 
-    def count(self, peer: Peer, step: int) -> None:
+    def update_ranks(self, peer: Peer, step: int) -> None:
         """Count a member in or out."""
         near = peer.failure_domain == self.me.failure_domain
-        theirs = weights_of(peer.node_id)
-        for slot, mine in enumerate(self.mine):
+        theirs = rendezvous_weights(peer.node_id)
+        for slot, mine in enumerate(self.own_weights):
             if theirs[slot] > mine:
-                self.overall[slot] += step
+                self.ranks[slot] += step
                 if near:
-                    self.in_domain[slot] += step
+                    self.domain_ranks[slot] += step
 
     def rank(self, digest: str) -> int:
         """Return how many members ask the origin before this one."""
-        return self.overall[slot_of(digest)]
+        return self.ranks[hash_slot(digest)]
 
     def is_domain_seeder(self, digest: str) -> bool:
         """Tell whether this instance brings a chunk into its failure domain.
 
         With the first seeder of all, at most `MOST_COPIES` are drawn.
         """
-        slot = slot_of(digest)
-        mine = not self.in_domain[slot] and self.overall[slot] > 0
-        return mine and self.leading[slot]
+        slot = hash_slot(digest)
+        mine = not self.domain_ranks[slot] and self.ranks[slot] > 0
+        return mine and self.draws_own_copy[slot]
 
 
 @lru_cache(maxsize=8)
-def leading_slots(domain: str, domains: tuple[str, ...]) -> list[bool]:
+def slots_with_own_copy(domain: str, domains: tuple[str, ...]) -> list[bool]:
     """Tell for each slot whether a failure domain draws copies of its own."""
-    seeds = {name: seed_of("/" + name) for name in domains}
+    seeds = {name: hash_seed("/" + name) for name in domains}
     return [
-        sorted(domains, key=lambda d, s=slot: weight(s, seeds[d])).index(domain)
-        < MOST_COPIES - 1
-        for slot in range(SLOTS)
+        sorted(domains, key=lambda d, s=slot: rendezvous_weight(s, seeds[d])).index(
+            domain
+        )
+        < MAX_ORIGIN_COPIES - 1
+        for slot in range(HASH_SLOTS)
     ]
 
 
@@ -142,8 +146,8 @@
 def successor(me: Peer, pool: list[Peer], ring: int) -> str:
     """Return the member after `me` on a ring."""
 
-    def place(peer: Peer) -> tuple[int, str]:
-        return weight(ring, seed_of(peer.node_id)), peer.node_id
+    def ring_position(peer: Peer) -> tuple[int, str]:
+        return rendezvous_weight(ring, hash_seed(peer.node_id)), peer.node_id
 
-    after = [peer for peer in pool if place(peer) > place(me)]
-    return min(after or pool, key=place).node_id
+    after = [peer for peer in pool if ring_position(peer) > ring_position(me)]
+    return min(after or pool, key=ring_position).node_id
--- a/src/wisteriapulley/weights/swarm.py
+++ b/src/wisteriapulley/weights/swarm.py
@@ -6,9 +6,13 @@
 
 from wisteriapulley.errors import ResultCode, WeightsError, WireError
 from wisteriapulley.errors import WisteriapulleyError as Error
+from wisteriapulley.weights.chunk_bitmap import (
+    PUBLISH_INTERVAL_S,
+    pack_bitmap,
+    unpack_bitmap,
+)
+from wisteriapulley.weights.chunk_download import ChunkDownload
 from wisteriapulley.weights.chunk_store import ChunkStore
-from wisteriapulley.weights.copy import Copy
-from wisteriapulley.weights.have import TELL_EVERY_S, pack_bitmap, unpack_bitmap
 from wisteriapulley.weights.manifest import Manifest, Span
 from wisteriapulley.weights.pace import LinkBudget
 from wisteriapulley.weights.schedule import ORIGIN
@@ -20,8 +24,8 @@
 
 log = logging.getLogger(__name__)
 
-MANIFEST_S = 5.0
-RETRY_S = 0.1
+MANIFEST_TIMEOUT_S = 5.0
+MANIFEST_RETRY_S = 0.1
 SOURCE_RETRY_S = 1.0
 
 
@@ -48,42 +52,42 @@
         store: ChunkStore,
         sources: list[HttpSource],
         budget: LinkBudget,
-        patience_ms: float,
+        rank_delay_ms: float,
     ):
         self.me = me
         self.store = store
         self.sources = sources
         self.budget = budget
-        self.patience_ms = patience_ms
+        self.rank_delay_ms = rank_delay_ms
         self.seeders = Seeders(me)
         self.uploader = Uploader(store, budget)
         self.manifests: dict[str, Manifest] = {}
         self.links: dict[str, list[Link]] = {}
-        self.gone: set[str] = set()
+        self.disconnected_peers: set[str] = set()
         self.neighbour_count = 0
-        self.copy: Copy | None = None
-        self.wanted = ""
-        self.serving = ""
-        self.offers: set[str] = set()
-        self.complete_at: dict[str, str] = {}
-        self.news: list[int] = []
-        self.telling: asyncio.TimerHandle | None = None
-        self.corrupted_from: dict[str, int] = {}
+        self.download: ChunkDownload | None = None
+        self.desired_version = ""
+        self.serving_version = ""
+        self.manifest_holders: set[str] = set()
+        self.complete_versions: dict[str, str] = {}
+        self.unpublished_chunks: list[int] = []
+        self.publish_timer: asyncio.TimerHandle | None = None
+        self.corrupted_by_source: dict[str, int] = {}
         self.bytes_from_peers = 0
-        self.fault: WeightsError | None = None
+        self.manifest_error: WeightsError | None = None
 
     # -- neighbours ------------------------------------------------------
 
     def add_link(self, link: Link) -> None:
         """Take a neighbour's link in, and tell what is here."""
         self.links.setdefault(link.peer_id, []).append(link)
-        self.gone.discard(link.peer_id)
+        self.disconnected_peers.discard(link.peer_id)
         for version in self.manifests:
-            link.post(self.have(version))
-        if self.copy is not None:
-            self.copy.ask(link)
-        elif self.wanted:
-            link.post(messages.HaveQuery(self.wanted))
+            link.post(self.have_message(version))
+        if self.download is not None:
+            self.download.query_have(link)
+        elif self.desired_version:
+            link.post(messages.HaveQuery(self.desired_version))
 
     def drop_link(self, link: Link) -> None:
         """Forget a neighbour whose last link closed."""
@@ -93,37 +97,37 @@
         if links or link.peer_id not in self.links:
             return
         del self.links[link.peer_id]
-        self.gone.add(link.peer_id)
-        self.offers.discard(link.peer_id)
-        self.complete_at.pop(link.peer_id, None)
-        if self.copy is not None:
-            self.copy.schedule.drop_peer(link.peer_id, time.monotonic() * 1000)
-            self.copy.wake.set()
-
-    def link(self, node_id: str) -> Link | None:
+        self.disconnected_peers.add(link.peer_id)
+        self.manifest_holders.discard(link.peer_id)
+        self.complete_versions.pop(link.peer_id, None)
+        if self.download is not None:
+            self.download.schedule.drop_peer(link.peer_id, time.monotonic() * 1000)
+            self.download.wake.set()
+
+    def open_link(self, node_id: str) -> Link | None:
         """Return an open link to a neighbour, the newest first."""
         links = self.links.get(node_id, ())
         return next((ln for ln in reversed(links) if not ln.closed.is_set()), None)
 
     def open_links(self) -> list[Link]:
         """Return one open link to each neighbour."""
-        found = [self.link(node_id) for node_id in self.links]
+        found = [self.open_link(node_id) for node_id in self.links]
         return [link for link in found if link is not None]
 
-    def expected_links(self) -> int:
+    def expected_link_count(self) -> int:
         """Return how many neighbours should have answered by now."""
         return min(self.neighbour_count, len(self.seeders.members))
 
     def set_members(self, members: list[Peer]) -> None:
         """Note who takes part."""
-        if self.copy is not None:
-            self.copy.schedule.set_members(members)
+        if self.download is not None:
+            self.download.schedule.set_members(members)
         else:
             self.seeders.set_members(members)
 
     # -- telling what is here ----------------------------------------------
 
-    def have(self, version: str) -> messages.Have:
+    def have_message(self, version: str) -> messages.Have:
         """Say which chunks of a version are here."""
         manifest = self.manifests.get(version)
         if manifest is None:
@@ -136,13 +140,13 @@
 
     def receive_have(self, link: Link, message: messages.Have) -> None:
         """Note what a neighbour holds."""
-        if message.version != self.wanted:
+        if message.version != self.desired_version:
             return
         if message.chunks:
-            self.offers.add(link.peer_id)
+            self.manifest_holders.add(link.peer_id)
         if message.complete:
-            self.complete_at[link.peer_id] = message.version
-        copy = self.copy
+            self.complete_versions[link.peer_id] = message.version
+        copy = self.download
         if copy is None or copy.version != message.version:
             return
         now_ms = time.monotonic() * 1000
@@ -153,33 +157,33 @@
             copy.schedule.set_have(link.peer_id, indexes, now_ms)
         copy.wake.set()
 
-    def receive_query(self, link: Link, message: messages.HaveQuery) -> None:
+    def receive_have_query(self, link: Link, message: messages.HaveQuery) -> None:
         """Tell a neighbour what is here."""
-        link.post(self.have(message.version))
+        link.post(self.have_message(message.version))
 
-    def added(self, version: str, index: int) -> None:
+    def record_chunk(self, version: str, index: int) -> None:
         """Note a chunk that the neighbours shall hear of soon."""
-        self.news.append(index)
-        if self.telling is None:
+        self.unpublished_chunks.append(index)
+        if self.publish_timer is None:
             loop = asyncio.get_running_loop()
-            self.telling = loop.call_later(TELL_EVERY_S, self.tell)
+            self.publish_timer = loop.call_later(PUBLISH_INTERVAL_S, self.publish_have)
 
-    def tell(self, force: bool = False) -> None:
+    def publish_have(self, force: bool = False) -> None:
         """Tell the neighbours of new chunks; those that have all need not know."""
-        if self.telling is not None:
-            self.telling.cancel()
-            self.telling = None
-        news, self.news = tuple(self.news), []
-        copy = self.copy
+        if self.publish_timer is not None:
+            self.publish_timer.cancel()
+            self.publish_timer = None
+        news, self.unpublished_chunks = tuple(self.unpublished_chunks), []
+        copy = self.download
         if copy is None or not (news or force):
             return
         count = len(copy.manifest.spans)
         done = copy.schedule.complete
         message = messages.Have(copy.version, b"", done, count, news)
         if force:
-            message = self.have(copy.version)
+            message = self.have_message(copy.version)
         for link in self.open_links():
-            if self.complete_at.get(link.peer_id) != copy.version:
+            if self.complete_versions.get(link.peer_id) != copy.version:
                 link.post(message)
 
     # -- serving chunks ----------------------------------------------------
@@ -220,17 +224,17 @@
             length = length or frame.message.total
             if frame.message.offset != received or received + len(frame.body) > length:
                 raise WireError(ResultCode.CHUNK_CORRUPTED, "a part does not fit")
-            await self.budget.take(len(frame.body))
+            await self.budget.acquire(len(frame.body))
             parts.append(frame.body)
             received += len(frame.body)
         self.bytes_from_peers += received
         return b"".join(parts)
 
-    def count_corrupted(self, source: str) -> None:
+    def record_corrupted(self, source: str) -> None:
         """Count bad bytes of a sender."""
-        self.corrupted_from[source] = self.corrupted_from.get(source, 0) + 1
+        self.corrupted_by_source[source] = self.corrupted_by_source.get(source, 0) + 1
 
-    async def from_source(self, version: str, span: Span) -> bytes:
+    async def fetch_from_sources(self, version: str, span: Span) -> bytes:
         """Fetch a chunk from the origin, or else from the store.
 
         Raises
@@ -240,15 +244,15 @@
         """
         errors = []
         for source in self.sources:
-            if source.resting:
+            if source.in_cooldown:
                 continue
             try:
                 return await source.chunk(version, span)
             except WeightsError as error:
                 errors.append(error)
                 if error.code == ResultCode.CHUNK_CORRUPTED:
-                    self.count_corrupted(ORIGIN)
-        raise errors[0] if errors else no_source()
+                    self.record_corrupted(ORIGIN)
+        raise errors[0] if errors else no_source_error()
 
     # -- copying -----------------------------------------------------------
 
@@ -260,20 +264,20 @@
         Manifest
             Every chunk of it is in the store, verified.
         """
-        self.wanted = version
-        self.offers.clear()
-        self.complete_at.clear()
-        self.fault = None
+        self.desired_version = version
+        self.manifest_holders.clear()
+        self.complete_versions.clear()
+        self.manifest_error = None
         manifest = self.manifests.get(version)
         if manifest is None:
             manifest = await self.find_manifest(version)
         self.manifests[version] = manifest
         # What a superseded copy left is kept as far as this version shares it.
-        self.keep_only({version, self.serving})
+        self.keep_only({version, self.serving_version})
         limit = self.store.limit_bytes
         if limit and manifest.size > limit:
-            raise self.store.full(manifest.size)
-        copy = self.copy = Copy(self, manifest, distribution)
+            raise self.store.full_error(manifest.size)
+        copy = self.download = ChunkDownload(self, manifest, distribution)
         await copy.run()
         return manifest
 
@@ -284,45 +288,45 @@
         for link in self.open_links():
             link.post(messages.HaveQuery(version))
         while True:
-            manifest = await self.manifest_of_neighbours(version)
+            manifest = await self.fetch_manifest_from_neighbours(version)
             if manifest is not None:
                 return manifest
             now_s = time.monotonic()
-            turn = self.seeders.rank(version) * self.patience_ms / 1000
+            turn = self.seeders.rank(version) * self.rank_delay_ms / 1000
             if now_s - begun_s >= turn and now_s - asked_s > SOURCE_RETRY_S:
                 asked_s = now_s
-                manifest = await self.manifest_of_sources(version)
+                manifest = await self.fetch_manifest_from_sources(version)
                 if manifest is not None:
                     return manifest
-            await asyncio.sleep(RETRY_S / 5)
+            await asyncio.sleep(MANIFEST_RETRY_S / 5)
 
-    async def manifest_of_neighbours(self, version: str) -> Manifest | None:
+    async def fetch_manifest_from_neighbours(self, version: str) -> Manifest | None:
         """Ask neighbours that have the manifest."""
-        for node_id in tuple(self.offers):
-            link = self.link(node_id)
+        for node_id in tuple(self.manifest_holders):
+            link = self.open_link(node_id)
             if link is None:
                 continue
             call = None
             try:
                 call = link.call(messages.ChunkQuery(version, version))
-                data = await self.receive_parts(call, 0, MANIFEST_S)
+                data = await self.receive_parts(call, 0, MANIFEST_TIMEOUT_S)
                 return Manifest.from_bytes(data, version)
             except Error as error:
                 log.info("manifest from %s: %s", node_id, error)
-                self.offers.discard(node_id)
+                self.manifest_holders.discard(node_id)
             finally:
                 if call is not None:
                     call.close()
         return None
 
-    async def manifest_of_sources(self, version: str) -> Manifest | None:
+    async def fetch_manifest_from_sources(self, version: str) -> Manifest | None:
         """Ask the origin, then the store."""
         for source in self.sources:
             try:
                 return await source.manifest(version)
             except WeightsError as error:
                 log.warning("manifest %s: %s", version, error)
-                self.fault = self.fault or error
+                self.manifest_error = self.manifest_error or error
         return None
 
     def keep_only(self, versions: set[str]) -> None:
@@ -334,12 +338,12 @@
         }
         self.store.keep_only(self.manifests.values())
 
-    def trouble(self) -> str:
+    def error_text(self) -> str:
         """Return why the copy does not go on, or an empty text."""
-        fault = self.copy.fault if self.copy is not None else None
-        return str(fault or self.fault or "")
+        fault = self.download.last_error if self.download is not None else None
+        return str(fault or self.manifest_error or "")
 
 
-def no_source() -> WeightsError:
+def no_source_error() -> WeightsError:
     """Make the error of an instance without sources."""
     return WeightsError(ResultCode.SOURCE_UNAVAILABLE, "no source answers now", 1000)
--- a/src/wisteriapulley/weights/upload.py
+++ b/src/wisteriapulley/weights/upload.py
@@ -12,12 +12,12 @@
 
 # Two at once keep the link busy when one neighbour reads slowly; with more, all
 # chunks would come late together instead of one after the other.
-AT_ONCE = 2
+MAX_PARALLEL_UPLOADS = 2
 # A neighbour that takes nothing for this long must not hold a place.
-STALL_S = 5.0
+SEND_TIMEOUT_S = 5.0
 # Chunks queued here by neighbours; past it they are told to ask another.
-MOST_QUEUED = 256
-RETRY_AFTER_MS = 200
+MAX_QUEUED_CHUNKS = 256
+OVERLOAD_RETRY_MS = 200
 
 
 class Uploader:
@@ -34,7 +34,7 @@
     def __init__(self, store: ChunkStore, budget: LinkBudget):
         self.store = store
         self.budget = budget
-        self.places = asyncio.Semaphore(AT_ONCE)
+        self.upload_slots = asyncio.Semaphore(MAX_PARALLEL_UPLOADS)
         self.tasks: dict[tuple[str, int], asyncio.Task] = {}
         self.bytes_sent = 0
 
@@ -50,14 +50,14 @@
         """
         if message.digest not in self.store:
             raise WeightsError(ResultCode.SOURCE_UNAVAILABLE, "chunk is not here")
-        if len(self.tasks) >= MOST_QUEUED:
+        if len(self.tasks) >= MAX_QUEUED_CHUNKS:
             raise WeightsError(
-                ResultCode.OVERLOADED, "too many chunks wait here", RETRY_AFTER_MS
+                ResultCode.OVERLOADED, "too many chunks wait here", OVERLOAD_RETRY_MS
             )
         key = (link.peer_id, frame.id)
         self.tasks[key] = asyncio.current_task()
         try:
-            async with self.places:
+            async with self.upload_slots:
                 data = self.store.get(message.digest)
                 if data is None:
                     raise WeightsError(
@@ -74,12 +74,12 @@
         step = self.budget.part_bytes
         for offset in range(0, len(data), step):
             part = data[offset : offset + step]
-            await self.budget.take(len(part))
+            await self.budget.acquire(len(part))
             message = messages.Chunk(digest, offset, len(data))
             link.post(message, reply_to=frame.id, body=part)
             self.bytes_sent += len(part)
             try:
-                async with asyncio.timeout(STALL_S):
+                async with asyncio.timeout(SEND_TIMEOUT_S):
                     await link.drain()
             except TimeoutError:
                 link.close(WireError(ResultCode.LINK_SILENT, "takes no chunk"))
--- a/tests/test_control_news.py
+++ b/tests/test_control_news.py
@@ -67,9 +67,9 @@
         instance.state.weights["m"] = 3
         instance.news.flush()
         assert instance.fetched == [("m", 3)]
-        since = dict(instance.news.versions.of("m"))
+        since = dict(instance.news.versions.versions_of("m"))
         instance.news.take_models(news_of(3))
-        assert dict(instance.news.versions.of("m"))[3] <= since[3]
+        assert dict(instance.news.versions.versions_of("m"))[3] <= since[3]
         assert set(instance.named()) == {3}
 
     def test_what_the_own_log_brings_is_told_to_the_others(self):
--- a/tests/test_download.py
+++ b/tests/test_download.py
@@ -26,9 +26,9 @@
 class Holder:
     """Holds some pieces, and more with time; may fail for a while."""
 
-    def __init__(self, name, held, at_once=IN_FLIGHT):
+    def __init__(self, name, held, max_in_flight=IN_FLIGHT):
         self.name = self.key = name
-        self.at_once = at_once
+        self.max_in_flight = max_in_flight
         self.pieces = set(held)
         self.more = asyncio.Event()
         self.failures = 0
@@ -40,7 +40,7 @@
         self.more.set()
         self.more = asyncio.Event()
 
-    async def held(self, manifest, known):
+    async def held_pieces(self, manifest, known):
         while len(self.pieces) <= known:
             await self.more.wait()
         return frozenset(self.pieces)
@@ -78,7 +78,7 @@
 
 @pytest.fixture(autouse=True)
 def short_times(monkeypatch):
-    monkeypatch.setattr(download_module, "SOURCES_S", 0.01)
+    monkeypatch.setattr(download_module, "HOLDER_REFRESH_S", 0.01)
 
 
 class TestDownload:
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -16,7 +16,7 @@
     DownloadRate,
     StagingArea,
 )
-from wisteriapulley.weights.have import pack_bitmap
+from wisteriapulley.weights.chunk_bitmap import pack_bitmap
 from wisteriapulley.weights.pieces import PieceManifest
 from wisteriapulley.weights.relay import Relay
 from wisteriapulley.wire import Frame, messages
@@ -85,7 +85,7 @@
             await ask_manifest(server)
             query, link = messages.HeldQuery("m", 7), FakeLink()
             await server.answer_held(query, link, Frame(2, 0, query, b""))
-            await server.relay.prefetching["m"][1]
+            await server.relay.prefetch_tasks["m"][1]
             assert len(server.relay.pieces) == 40
 
         serve(scenario)
@@ -96,7 +96,7 @@
             query, link = messages.HeldQuery("m", 7, only_looks=True), FakeLink()
             await server.answer_held(query, link, Frame(2, 0, query, b""))
             assert link.posted[0].pieces == 0
-            assert not server.relay.prefetching
+            assert not server.relay.prefetch_tasks
 
         serve(scenario)
 
@@ -106,7 +106,7 @@
         async def scenario(server, origin):
             await ask_manifest(server)
             await asyncio.sleep(0.01)
-            await server.relay.prefetching["m"][1]
+            await server.relay.prefetch_tasks["m"][1]
             assert len(server.relay.pieces) == 40
 
         serve(scenario)
--- a/tests/test_response_signals.py
+++ b/tests/test_response_signals.py
@@ -19,7 +19,7 @@
     ResponseSignals,
     TargetLoad,
 )
-from wisteriapulley.weights.named import NamedVersions
+from wisteriapulley.weights.desired_versions import DesiredVersions
 from wisteriapulley.wire import messages
 from wisteriapulley.wire.messages import TargetState
 
@@ -196,7 +196,7 @@
                 SETTINGS,
                 IDENTITY,
                 registry,
-                SimpleNamespace(versions=NamedVersions(), open_links=list),
+                SimpleNamespace(versions=DesiredVersions(), open_links=list),
             )
             released = []
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -15,11 +15,11 @@
     switch_rank,
 )
 from wisteriapulley.weights import relay as relay_module
+from wisteriapulley.weights.chunk_bitmap import unpack_bitmap
+from wisteriapulley.weights.desired_versions import MAX_VERSIONS_KEPT, DesiredVersions
 from wisteriapulley.weights.download import Download
-from wisteriapulley.weights.have import unpack_bitmap
-from wisteriapulley.weights.named import KEPT, NamedVersions
 from wisteriapulley.weights.pieces import PieceManifest
-from wisteriapulley.weights.relay import IN_FLIGHT, Relay
+from wisteriapulley.weights.relay import MAX_PIECES_IN_FLIGHT, Relay
 from wisteriapulley.wire import messages
 
 
@@ -27,31 +27,31 @@
     def test_superseded_version_expires_from_the_first_newer_one(self):
         # Version 3 is accepted while version 2 is still downloaded: the time of
         # version 1 runs from version 2, not from version 3.
-        named = NamedVersions()
-        named.note("m", 2, 18.0)
-        named.note("m", 3, 21.0)
-        assert named.replaced_at("m", 1) == 18.0
-        assert named.replaced_at("m", 2) == 21.0
-        assert named.replaced_at("m", 3) is None
+        named = DesiredVersions()
+        named.record("m", 2, 18.0)
+        named.record("m", 3, 21.0)
+        assert named.superseded_at("m", 1) == 18.0
+        assert named.superseded_at("m", 2) == 21.0
+        assert named.superseded_at("m", 3) is None
         assert named.newest("m") == 3
 
     def test_earliest_time_counts(self):
-        named = NamedVersions()
-        assert named.note("m", 2, 18.0)
-        assert not named.note("m", 2, 17.0)
-        assert not named.note("m", 2, 19.0)
-        assert named.of("m") == [(2, 17.0)]
+        named = DesiredVersions()
+        assert named.record("m", 2, 18.0)
+        assert not named.record("m", 2, 17.0)
+        assert not named.record("m", 2, 19.0)
+        assert named.versions_of("m") == [(2, 17.0)]
 
     def test_only_the_newest_versions_are_kept(self):
-        named = NamedVersions()
+        named = DesiredVersions()
         for version in range(1, 50):
-            named.note("m", version, float(version))
-        assert len(named.of("m")) == KEPT
-        assert not named.note("m", 1, 0.0)
+            named.record("m", version, float(version))
+        assert len(named.versions_of("m")) == MAX_VERSIONS_KEPT
+        assert not named.record("m", 1, 0.0)
 
     def test_unknown_model(self):
-        assert NamedVersions().newest("m") == 0
-        assert NamedVersions().replaced_at("m", 0) is None
+        assert DesiredVersions().newest("m") == 0
+        assert DesiredVersions().superseded_at("m", 0) is None
 
 
 class TestSwitchOrder:
@@ -102,7 +102,7 @@
     """Serves pieces; the first response for some is corrupted."""
 
     name = key = "origin"
-    at_once = IN_FLIGHT
+    max_in_flight = MAX_PIECES_IN_FLIGHT
 
     def __init__(self, corrupted=()):
         self.corrupted = set(corrupted)
@@ -118,7 +118,7 @@
         )
         return PieceManifest(model, version or 7, 20, 4, digests)
 
-    async def held(self, manifest, known):
+    async def held_pieces(self, manifest, known):
         return frozenset(range(len(manifest.digests)))
 
     async def piece(self, model, version, position):
@@ -151,14 +151,14 @@
     """Pieces of another instance; a request that it does not serve soon times out."""
 
     name = key = "relay"
-    at_once = IN_FLIGHT
+    max_in_flight = MAX_PIECES_IN_FLIGHT
 
     def __init__(self, relay):
         self.relay = relay
 
-    async def held(self, manifest, known):
+    async def held_pieces(self, manifest, known):
         query = messages.HeldQuery(manifest.model, manifest.version, known, 1000)
-        held = await self.relay.held_soon(query)
+        held = await self.relay.wait_held(query)
         return frozenset(unpack_bitmap(held.bitmap, len(manifest.digests)))
 
     async def manifest(self, model, version):
@@ -180,7 +180,7 @@
     def test_only_the_first_instance_requests_pieces_from_it_after_recovery(
         self, monkeypatch
     ):
-        monkeypatch.setattr(relay_module, "RETRY_S", 0)
+        monkeypatch.setattr(relay_module, "RETRY_DELAY_S", 0)
         origin, direct = FailingSource(failures=60), CorruptingSource()
         head = Relay(lambda: [origin])
         others = [Relay(lambda: [RelaySource(head), direct]) for _ in range(5)]
@@ -195,13 +195,13 @@
         assert len(direct.requested) <= 5 * 4
 
     def test_instances_with_another_source_rarely_request_from_it(self, monkeypatch):
-        monkeypatch.setattr(relay_module, "SPARING_PAUSE_S", 0.05)
+        monkeypatch.setattr(relay_module, "THROTTLED_RETRY_DELAY_S", 0.05)
         origin = FailingSource(failures=10**6)
 
         async def run():
             relay = Relay(lambda: [origin])
             manifest = await relay.manifest("m", 7)
-            sparingly = relay_module.Sparingly(origin)
+            sparingly = relay_module.ThrottledHolder(origin)
             download = Download(
                 manifest, range(40), lambda s: [sparingly], None, 4, 0.001
             )
@@ -214,15 +214,15 @@
         assert 1 <= 10**6 - origin.failures <= 0.2 / 0.05 + 1
 
     def test_download_continues_after_recovery(self, monkeypatch):
-        monkeypatch.setattr(relay_module, "RETRY_S", 0)
-        monkeypatch.setattr(relay_module, "RETRY_ALL_S", 0)
+        monkeypatch.setattr(relay_module, "RETRY_DELAY_S", 0)
+        monkeypatch.setattr(relay_module, "ROUND_RETRY_DELAY_S", 0)
         relay = Relay(lambda: [origin])
         origin = FailingSource(failures=100)
         asyncio.run(relay.fetch_all("m", 7))
         assert len(relay.pieces) == 40
 
     def test_instance_cut_off_from_its_upstream_requests_from_it(self, monkeypatch):
-        monkeypatch.setattr(relay_module, "RETRY_S", 0.001)
+        monkeypatch.setattr(relay_module, "RETRY_DELAY_S", 0.001)
         unreachable = FailingSource(failures=10**6)
         origin = CorruptingSource()
         relay = Relay(lambda: [unreachable, origin])
@@ -238,9 +238,9 @@
         asyncio.run(relay.fetch_all("m", 7))
         again = [i for i, position in enumerate(source.requested) if position == 3]
         assert len(again) == 2
-        assert again[1] - again[0] <= 3 * IN_FLIGHT
+        assert again[1] - again[0] <= 3 * MAX_PIECES_IN_FLIGHT
         assert len(relay.pieces) == 40
-        assert source.max_in_flight <= IN_FLIGHT
+        assert source.max_in_flight <= MAX_PIECES_IN_FLIGHT
 
     def test_callers_share_a_fetch(self):
         source = CorruptingSource()
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -3,7 +3,12 @@
 import pytest
 from bench.virtual_burst import VirtualBurst
 
-from wisteriapulley.weights.schedule import MOST_PATIENCE, ORIGIN, Fetch, Schedule
+from wisteriapulley.weights.schedule import (
+    MAX_RANK_DELAY_FACTOR,
+    ORIGIN,
+    Fetch,
+    Schedule,
+)
 from wisteriapulley.weights.seeders import Peer, Seeders, choose_neighbours
 
 CHUNKS = 50
@@ -38,7 +43,7 @@
         drawn = [0] * CHUNKS
         for schedule in made:
             first = {i for i in schedule.missing if not schedule.rank(i)}
-            for index in first | set(schedule.extras):
+            for index in first | set(schedule.domain_queue):
                 drawn[index] += 1
         assert min(drawn) >= 1
         assert max(drawn) <= copies
@@ -50,8 +55,8 @@
         seeders.set_members(members[:4])
         fresh = Seeders(members[0])
         fresh.set_members(members[:4])
-        assert seeders.overall == fresh.overall
-        assert seeders.in_domain == fresh.in_domain
+        assert seeders.ranks == fresh.ranks
+        assert seeders.domain_ranks == fresh.domain_ranks
 
 
 class TestNeighbours:
@@ -81,25 +86,25 @@
     def test_rank_waits_for_its_turn(self):
         schedule = self.schedule()
         late = [i for i in schedule.missing if schedule.rank(i) == 2]
-        assert not any(schedule.may_ask_origin(i, 1999) for i in late)
-        assert all(schedule.may_ask_origin(i, 2000) for i in late)
+        assert not any(schedule.is_turn_at_origin(i, 1999) for i in late)
+        assert all(schedule.is_turn_at_origin(i, 2000) for i in late)
 
     def test_news_puts_the_next_rank_off_but_not_for_ever(self):
         schedule = self.schedule()
         index = next(i for i in schedule.missing if schedule.rank(i) == 1)
         other = next(i for i in schedule.missing if i != index)
         schedule.add_have("n1", [other], 900.0)
-        assert not schedule.may_ask_origin(index, 1800.0)
-        schedule.news_ms = 1e9
-        assert schedule.may_ask_origin(index, MOST_PATIENCE * PATIENCE_MS)
+        assert not schedule.is_turn_at_origin(index, 1800.0)
+        schedule.last_new_chunk_ms = 1e9
+        assert schedule.is_turn_at_origin(index, MAX_RANK_DELAY_FACTOR * PATIENCE_MS)
 
     def test_patience_counts_from_the_loss_of_the_last_holder(self):
         schedule = self.schedule()
         index = next(i for i in schedule.missing if schedule.rank(i) == 1)
         schedule.set_have("n1", [index], 0.0)
         schedule.drop_peer("n1", 5000.0)
-        assert not schedule.may_ask_origin(index, 5999.0)
-        assert schedule.may_ask_origin(index, 6000.0)
+        assert not schedule.is_turn_at_origin(index, 5999.0)
+        assert schedule.is_turn_at_origin(index, 6000.0)
 
     def test_rarest_chunk_goes_first(self):
         schedule = self.schedule()
@@ -112,7 +117,7 @@
         schedule = self.schedule()
         schedule.set_have("n1", range(CHUNKS), 0.0)
         bad = next(f for f in schedule.next_fetches(0.0) if f.source == "n1")
-        schedule.failed(bad, 0.0, corrupted=True)
+        schedule.record_failure(bad, 0.0, corrupted=True)
         sources = {f.source for f in schedule.next_fetches(1e9)}
         assert sources <= {ORIGIN}
 
@@ -121,28 +126,28 @@
         schedule.set_have("n1", [3], 0.0)
         assert Fetch(3, "n1") in schedule.next_fetches(0.0, origin=False)
         schedule.set_have("n2", [3], 10.0)
-        (late,) = schedule.expired(2001.0)
-        schedule.failed(late, 2001.0)
+        (late,) = schedule.expired_fetches(2001.0)
+        schedule.record_failure(late, 2001.0)
         assert schedule.next_fetches(2001.0, origin=False) == [Fetch(3, "n2")]
 
     def test_end_game_asks_a_second_source_and_cancels_the_loser(self):
         schedule = self.schedule()
         for index in range(1, CHUNKS):
-            schedule.done(index, 0.0)
+            schedule.record_chunk(index, 0.0)
         schedule.set_have("n1", [0], 0.0)
         schedule.set_have("n2", [0], 0.0)
         (first,) = schedule.next_fetches(0.0, origin=False)
         (second,) = schedule.next_fetches(10.0, origin=False)
         assert {first.source, second.source} == {"n1", "n2"}
         assert schedule.next_fetches(20.0, origin=False) == []
-        assert schedule.arrived(second, 30.0) == [first]
+        assert schedule.record_success(second, 30.0) == [first]
         assert schedule.complete
-        assert set(schedule.busy.values()) == {0}
+        assert set(schedule.fetch_counts.values()) == {0}
 
     def test_origin_that_refuses_is_left_alone_as_long_as_it_says(self):
         schedule = self.schedule()
         fetch = schedule.next_fetches(0.0)[0]
-        schedule.failed(fetch, 100.0, retry_after_ms=3000.0)
+        schedule.record_failure(fetch, 100.0, retry_after_ms=3000.0)
         asked = [f for f in schedule.next_fetches(3000.0) if f.source == ORIGIN]
         assert asked == []
         assert schedule.next_fetches(3100.0)[0].source == ORIGIN
--- a/tests/test_slot_allocation.py
+++ b/tests/test_slot_allocation.py
@@ -10,7 +10,7 @@
 from wisteriapulley.direct.types import CallerRequest, Refusal
 from wisteriapulley.policy.target_ranking import Load
 from wisteriapulley.routing import Engine, Route, RouteKind, Split
-from wisteriapulley.weights.named import NamedVersions
+from wisteriapulley.weights.desired_versions import DesiredVersions
 from wisteriapulley.wire import messages
 from wisteriapulley.wire.handshake import Identity
 from wisteriapulley.wire.messages import TargetState
@@ -62,7 +62,7 @@
             for n in range(count)
         ]
         registry.update(states, now_s)
-        follower = SimpleNamespace(versions=NamedVersions(), open_links=list)
+        follower = SimpleNamespace(versions=DesiredVersions(), open_links=list)
         allocator = SlotAllocator(SETTINGS, IDENTITY, registry, follower)
         allocator.sidecars = sidecars
         request = CallerRequest(
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -5,8 +5,8 @@
 from tests.weights_kit import CHUNK_BYTES, publish, run_net
 from wisteriapulley.errors import ResultCode, WeightsError
 from wisteriapulley.weights import ChunkStore, FolderStore
-from wisteriapulley.weights import copy as copy_module
-from wisteriapulley.weights.swarm import Copy
+from wisteriapulley.weights import chunk_download as download_module
+from wisteriapulley.weights.swarm import ChunkDownload
 
 
 async def fetch_all(net, manifest, nodes=None):
@@ -31,7 +31,7 @@
             assert all(whole(node, manifest) for node in net.nodes)
             assert net.sent(manifest.digest) == manifest.size
 
-        run_net(tmp_path, scenario, 4, patience_ms=5000)
+        run_net(tmp_path, scenario, 4, rank_delay_ms=5000)
 
     def test_late_comer_draws_nothing_from_the_origin(self, tmp_path):
         manifest = publish(tmp_path, 1)
@@ -50,7 +50,7 @@
 
         async def scenario(net):
             await fetch_all(net, old)
-            net.nodes[0].swarm.serving = old.digest
+            net.nodes[0].swarm.serving_version = old.digest
             await fetch_all(net, new)
             assert net.sent(new.digest) == 6 * CHUNK_BYTES
             assert whole(net.nodes[0], old)
@@ -69,13 +69,13 @@
             task = asyncio.create_task(swarm.fetch_version(old.digest, "origin_bytes"))
             while swarm.store.size < 4 * CHUNK_BYTES:
                 await asyncio.sleep(0.01)
-            first = swarm.copy
+            first = swarm.download
             task.cancel()
             net.origin.link.bytes_per_s = 0
             await swarm.fetch_version(new.digest, "origin_bytes")
             assert first.chart.state == "superseded"
-            assert not first.flights
-            assert swarm.copy.version == new.digest
+            assert not first.fetch_tasks
+            assert swarm.download.version == new.digest
             assert whole(net.nodes[0], new)
             assert net.sent(new.digest) < new.size
 
@@ -90,14 +90,14 @@
             await fetch_all(net, manifest, net.nodes[2:])
             swarm = net.nodes[2].swarm
             assert whole(net.nodes[2], manifest)
-            assert "n0" in swarm.copy.schedule.shunned
-            assert swarm.corrupted_from["n0"] >= 1
+            assert "n0" in swarm.download.schedule.banned_peers
+            assert swarm.corrupted_by_source["n0"] >= 1
 
         run_net(tmp_path, scenario, 3)
 
     def test_silent_peer_is_replaced_in_mid_copy(self, tmp_path, monkeypatch):
         """The only holder's link beats but sends no chunk: the origin is asked."""
-        monkeypatch.setattr(copy_module, "PART_STALL_S", 1e9)
+        monkeypatch.setattr(download_module, "PART_TIMEOUT_S", 1e9)
         manifest = publish(tmp_path, 1)
 
         async def scenario(net):
@@ -157,7 +157,7 @@
             net.origin.corrupt_every = net.store.corrupt_every = 1
             swarm = net.nodes[0].swarm
             task = asyncio.create_task(fetch_all(net, manifest))
-            while "WP503" not in swarm.trouble():
+            while "WP503" not in swarm.error_text():
                 await asyncio.sleep(0.01)
             task.cancel()
             assert swarm.store.size == 0
@@ -172,7 +172,7 @@
             net.store.requests_per_s = 12
             await fetch_all(net, manifest)
             assert whole(net.nodes[0], manifest)
-            assert net.nodes[0].swarm.sources[0].resting
+            assert net.nodes[0].swarm.sources[0].in_cooldown
 
         run_net(tmp_path, scenario, 1)
 
@@ -208,11 +208,11 @@
         manifest = publish(tmp_path, 1)
 
         async def scenario(net):
-            copy = Copy(net.nodes[0].swarm, manifest, "origin_bytes")
+            copy = ChunkDownload(net.nodes[0].swarm, manifest, "origin_bytes")
             shown = set()
             for done in range(manifest.size + 1):
                 copy.bytes_done = done
-                shown.add(copy.bytes_shown)
+                shown.add(copy.reported_bytes)
             assert len(shown) <= 22
             assert manifest.size in shown
 
--- a/tests/weights_kit.py
+++ b/tests/weights_kit.py
@@ -41,10 +41,10 @@
 class SwarmNode:
     """A swarm with its listener, as a sidecar has it."""
 
-    def __init__(self, name: str, domain: str, sources, patience_ms, store=None):
+    def __init__(self, name: str, domain: str, sources, rank_delay_ms, store=None):
         budget = LinkBudget(0)
         self.swarm = Swarm(
-            Peer(name, domain), store or ChunkStore(), sources, budget, patience_ms
+            Peer(name, domain), store or ChunkStore(), sources, budget, rank_delay_ms
         )
         self.identity = Identity(name, "sidecar", domain, 1, KEY)
         self.server = LinkServer(
@@ -62,7 +62,7 @@
         if isinstance(message, messages.Have):
             self.swarm.receive_have(link, message)
         elif isinstance(message, messages.HaveQuery):
-            self.swarm.receive_query(link, message)
+            self.swarm.receive_have_query(link, message)
         elif isinstance(message, messages.ChunkCancel):
             self.swarm.uploader.cancel(link, message)
         elif isinstance(message, messages.ChunkQuery):
@@ -100,7 +100,7 @@
         self.store = FakeOrigin(str(folder), Records(str(folder / "store.jsonl")))
         self.nodes: list[SwarmNode] = []
 
-    async def start(self, count: int, patience_ms: float = 300, store=None) -> None:
+    async def start(self, count: int, rank_delay_ms: float = 300, store=None) -> None:
         """Start sources and `count` nodes."""
         self.session = aiohttp.ClientSession()
         ports = [free_port(), free_port()]
@@ -112,7 +112,7 @@
         for number in range(count):
             budget = LinkBudget(0)
             sources = [HttpSource(self.session, u, budget, budget) for u in urls]
-            node = SwarmNode(f"n{number}", "d", sources, patience_ms, store)
+            node = SwarmNode(f"n{number}", "d", sources, rank_delay_ms, store)
             node.address = await node.server.start(Address("127.0.0.1", 0))
             self.nodes.append(node)
         for number, node in enumerate(self.nodes):
