--- a/src/wisteriapulley/weights/__init__.py
+++ b/src/wisteriapulley/weights/__init__.py
@@ -1,4 +1,4 @@
-"""Manifests, chunks and their spreading."""
+"""Manifests of weights, verified chunks and peer-to-peer distribution."""
 
 from wisteriapulley.weights.chunk_store import ChunkStore, FolderStore
 from wisteriapulley.weights.manifest import Manifest, build_manifest, verify_folder
--- a/src/wisteriapulley/weights/chunk_bitmap.py
+++ b/src/wisteriapulley/weights/chunk_bitmap.py
@@ -1,8 +1,8 @@
-"""Which chunks an instance holds, as told to its neighbours.
+"""Bitmaps of held chunks, as announced to neighbours.
 
-A bitmap once for each link and version, then only what was added, at most every
-`TELL_EVERY_S`: at 820 instances a full bitmap for each chunk would cost more
-than some chunks do.
+An instance sends a full bitmap once per link and version, and then only the added
+chunks, at most once per `PUBLISH_INTERVAL_S`. With 820 instances, a full bitmap for
+each new chunk would take more bandwidth than some chunks.
 """
 
 from collections.abc import Iterable
--- a/src/wisteriapulley/weights/chunk_download.py
+++ b/src/wisteriapulley/weights/chunk_download.py
@@ -1,4 +1,4 @@
-"""One version on its way to this instance."""
+"""Download of one version to this instance."""
 
 import asyncio
 import logging
@@ -20,31 +20,31 @@
 
 log = logging.getLogger(__name__)
 
-# Turns at the origin and deadlines come with time; all else wakes the copy.
+# Rank delays and deadlines pass without an event; everything else wakes the download.
 TICK_INTERVAL_S = 0.1
-# A chunk of which no part comes for this long is asked elsewhere.
+# After this long without a part, a chunk is requested from another source.
 PART_TIMEOUT_S = 10.0
-# How long neighbours may take to say what they hold before the origin is asked:
-# an instance that restarts in a full fleet must not draw on the origin.
+# How long to wait for neighbours to announce their chunks before the origin is asked:
+# an instance that restarts among complete neighbours must not draw on the origin.
 MAX_HAVE_WAIT_S = 1.0
-# Progress of a copy is told to control in so many steps.
+# Number of steps in which progress is reported to the control instances.
 PROGRESS_STEPS = 20
 
 
 def now_ms() -> float:
-    """Read the monotonic clock in milliseconds."""
+    """Return the monotonic clock in milliseconds."""
     return time.monotonic() * 1000
 
 
 class ChunkDownload:
-    """Fetches the missing chunks of one version.
+    """Fetch the missing chunks of one version.
 
     Parameters
     ----------
     swarm : Swarm
-        Neighbours, sources and the chunk store.
+        Provides neighbours, sources and the chunk store.
     manifest : Manifest
-        The version.
+        Manifest of the version.
     distribution : str
         See `Schedule`.
     """
@@ -72,13 +72,19 @@
 
     @property
     def reported_bytes(self) -> int:
-        """Verified bytes, in steps: 820 instances report each step to control."""
-        step = max(1, self.manifest.size // PROGRESS_STEPS)
-        whole = self.bytes_done >= self.manifest.size
-        return self.bytes_done if whole else self.bytes_done // step * step
+        """Verified bytes, rounded down to a progress step.
+
+        Steps bound the number of reports: 820 instances report each change of this
+        value to the control instances.
+        """
+        step_bytes = max(1, self.manifest.size // PROGRESS_STEPS)
+        complete = self.bytes_done >= self.manifest.size
+        return (
+            self.bytes_done if complete else self.bytes_done // step_bytes * step_bytes
+        )
 
     async def run(self) -> None:
-        """Fetch until every chunk is here and verified."""
+        """Fetch until every chunk is held and verified."""
         self.chart.fire("start")
         try:
             await self.record_held_chunks()
@@ -90,18 +96,18 @@
             self.chart.fire("complete")
         finally:
             self.close()
-        self.swarm.publish_have(force=True)
+        self.swarm.publish_have(announce_all=True)
         log.info("copy complete", extra=fields(**self.summary()))
 
     def close(self) -> None:
-        """Stop every fetch; the chunks that are here stay."""
+        """Cancel every fetch; chunks that are held are kept."""
         for task in tuple(self.fetch_tasks.values()):
             task.cancel()
         if not self.schedule.complete:
             self.chart.fire("supersede")
 
     def summary(self) -> dict[str, object]:
-        """Return what the log says of a complete copy."""
+        """Return the log fields of a complete download."""
         return {
             "version": self.version,
             "seconds": round(time.monotonic() - self.started_s, 3),
@@ -109,38 +115,38 @@
         }
 
     async def record_held_chunks(self) -> None:
-        """Count chunks that are here already, verified."""
+        """Verify and record the chunks that the store already holds."""
         for span in self.manifest.spans:
             if self.swarm.store.verify(span.digest):
                 self.record_held(span)
-                # Reading a scratch folder takes its time: let requests pass.
+                # Reading a scratch folder takes long: let live requests run.
                 await asyncio.sleep(0)
 
     def record_held(self, span: Span) -> None:
-        """Count one verified chunk and its equals; cancel other fetches."""
+        """Record a verified chunk and cancel its remaining fetches."""
         self.bytes_done += span.length
         for fetch in self.schedule.record_chunk(span.index, now_ms()):
             self.cancel_fetch(fetch)
 
     def cancel_fetch(self, fetch: Fetch) -> None:
-        """Cancel a fetch."""
+        """Cancel a fetch that is in flight."""
         task = self.fetch_tasks.pop(fetch, None)
         if task is not None:
             task.cancel()
 
     def exchange_have(self) -> None:
-        """Tell the neighbours what is here and ask what they hold."""
+        """Announce the held chunks to the neighbours, and query theirs."""
         for link in self.swarm.open_links():
             link.post(self.swarm.have_message(self.version))
             self.query_have(link)
 
     def query_have(self, link: Link) -> None:
-        """Ask a neighbour what it holds."""
+        """Query which chunks a neighbour holds."""
         self.queried_peers.add(link.peer_id)
         link.post(messages.HaveQuery(self.version))
 
     async def wait_for_event(self) -> None:
-        """Wait until something happens, or a tick."""
+        """Wait for an event, at most one tick."""
         try:
             async with asyncio.timeout(TICK_INTERVAL_S):
                 await self.wake.wait()
@@ -149,14 +155,14 @@
         self.wake.clear()
 
     def start_fetches(self) -> None:
-        """Start what the schedule says, and replace what is late."""
+        """Start the fetches that the schedule returns, and replace expired ones."""
         now = now_ms()
         for fetch in self.schedule.expired_fetches(now):
-            log.info("chunk %s from %s is late", fetch.index, fetch.source)
+            log.info("chunk %s from %s missed its deadline", fetch.index, fetch.source)
             self.cancel_fetch(fetch)
             self.schedule.record_failure(fetch, now)
             self.next_query_ms[fetch.source] = now + SLOW_PEER_BACKOFF_MS
-        for node_id in [n for n, at in self.next_query_ms.items() if now >= at]:
+        for node_id in [n for n, due_ms in self.next_query_ms.items() if now >= due_ms]:
             del self.next_query_ms[node_id]
             link = self.swarm.open_link(node_id)
             if link is not None:
@@ -166,17 +172,21 @@
             self.fetch_tasks[fetch] = task
 
     def can_ask_sources(self) -> bool:
-        """Tell whether the neighbours have said what they hold."""
-        late = time.monotonic() - self.started_s > MAX_HAVE_WAIT_S
+        """Return whether sources may be asked.
+
+        That is once all expected neighbours have announced their chunks, or after
+        `MAX_HAVE_WAIT_S`.
+        """
+        waited_enough = time.monotonic() - self.started_s > MAX_HAVE_WAIT_S
         expected = self.swarm.expected_link_count()
         answered = (
             self.queried_peers
             <= self.schedule.held_by_peer.keys() | self.swarm.disconnected_peers
         )
-        return late or (answered and len(self.queried_peers) >= expected)
+        return waited_enough or (answered and len(self.queried_peers) >= expected)
 
     async def fetch(self, fetch: Fetch) -> None:
-        """Fetch one chunk and keep it when it is verified."""
+        """Fetch one chunk, and store it if its digest matches."""
         span = self.manifest.spans[fetch.index]
         try:
             if fetch.source == ORIGIN:
@@ -187,8 +197,12 @@
         except Error as error:
             self.record_failure(fetch, error)
         except Exception as error:
-            # A fault of our own must not keep the chunk in flight for ever.
-            log.exception("chunk %s from %s", fetch.index, fetch.source)
+            # A bug must not leave the chunk in flight forever.
+            log.exception(
+                "unexpected error in the fetch of chunk %s from %s",
+                fetch.index,
+                fetch.source,
+            )
             self.record_failure(
                 fetch, WeightsError(ResultCode.SOURCE_UNAVAILABLE, repr(error))
             )
@@ -199,7 +213,7 @@
             self.wake.set()
 
     def record_success(self, fetch: Fetch, span: Span) -> None:
-        """Note a verified chunk."""
+        """Record a fetched and verified chunk."""
         if fetch.index in self.schedule.missing:
             self.bytes_done += span.length
             for other in self.schedule.record_success(fetch, now_ms()):
@@ -208,8 +222,10 @@
             self.swarm.record_chunk(self.version, fetch.index)
 
     def record_failure(self, fetch: Fetch, error: Error) -> None:
-        """Note a failed fetch."""
-        log.debug("chunk %s from %s: %s", fetch.index, fetch.source, error)
+        """Record a failed fetch."""
+        log.debug(
+            "could not fetch chunk %s from %s: %s", fetch.index, fetch.source, error
+        )
         corrupted = error.code == ResultCode.CHUNK_CORRUPTED
         if corrupted:
             self.swarm.record_corrupted(fetch.source)
@@ -223,23 +239,23 @@
             )
 
     async def fetch_from_peer(self, node_id: str, span: Span) -> bytes:
-        """Fetch a chunk from a neighbour, part by part.
+        """Fetch a chunk from a neighbour in parts.
 
         Raises
         ------
         WireError
-            The link closed, stalled, or sent parts that don't fit.
+            The link closed or stalled, or a part has an unexpected offset or length.
         """
         link = self.swarm.open_link(node_id)
         if link is None:
             raise WireError(ResultCode.LINK_CLOSED, node_id)
         call = link.call(messages.ChunkQuery(span.digest, self.version, span.index))
-        whole = False
+        complete = False
         try:
             data = await self.swarm.receive_parts(call, span.length, PART_TIMEOUT_S)
-            whole = True
+            complete = True
         finally:
             call.close()
-            if not whole and not link.closed.is_set():
+            if not complete and not link.closed.is_set():
                 link.post(messages.ChunkCancel(call.id))
         return data
--- a/src/wisteriapulley/weights/chunk_store.py
+++ b/src/wisteriapulley/weights/chunk_store.py
@@ -1,7 +1,7 @@
-"""Verified chunks, in memory or in a scratch folder; both bounded.
+"""Bounded stores of verified chunks, in memory or in a scratch folder.
 
-Nothing unverified gets in, and what a scratch folder kept over a restart is
-verified again before it counts.
+Only verified chunks are stored. Chunks that a scratch folder kept over a restart are
+verified again before they are used.
 """
 
 import os
@@ -13,12 +13,12 @@
 
 
 class ChunkStore:
-    """Chunks by digest, in memory.
+    """Store of chunks by digest, in memory.
 
     Parameters
     ----------
     limit_bytes : int
-        Most bytes kept; 0 for no limit.
+        Maximum size in bytes; 0 for no limit.
     """
 
     def __init__(self, limit_bytes: int = 0):
@@ -29,22 +29,23 @@
 
     @classmethod
     def from_settings(cls, scratch_folder: str, limit_bytes: int) -> "ChunkStore":
-        """Make the store that the settings name."""
+        """Create the store that the settings select."""
         if scratch_folder:
             return FolderStore(scratch_folder, limit_bytes)
         return cls(limit_bytes)
 
     def put(self, digest: str, data: bytes) -> None:
-        """Keep a chunk if it is what it should be.
+        """Store a chunk if its bytes match the digest.
 
         Raises
         ------
         WeightsError
-            CHUNK_CORRUPTED, or CHUNK_STORE_FULL.
+            CHUNK_CORRUPTED if they don't; CHUNK_STORE_FULL if there is no room.
         """
         if chunk_digest(data) != digest:
             raise WeightsError(
-                ResultCode.CHUNK_CORRUPTED, f"expected {digest}, got other bytes"
+                ResultCode.CHUNK_CORRUPTED,
+                f"expected digest {digest}, got bytes with another digest",
             )
         if digest in self.sizes:
             return
@@ -54,43 +55,43 @@
         self.sizes[digest] = len(data)
         self.size += len(data)
 
-    def full_error(self, wanted: int) -> WeightsError:
-        """Make the error that says that the store has no room."""
+    def full_error(self, needed_bytes: int) -> WeightsError:
+        """Return the error for a chunk or version that does not fit in the store."""
         return WeightsError(
             ResultCode.CHUNK_STORE_FULL,
-            f"expected room for {wanted} bytes: {self.size} of {self.limit_bytes}"
-            " are kept; raise chunk_store_bytes",
+            f"chunk store has no room for {needed_bytes} bytes: {self.size} of"
+            f" {self.limit_bytes} bytes are in use; raise chunk_store_bytes",
             1000,
         )
 
     def get(self, digest: str) -> bytes | None:
-        """Return a chunk, or None."""
+        """Return a chunk, or None if it is not stored."""
         return self.chunks.get(digest)
 
     def verify(self, digest: str) -> bool:
-        """Tell whether a chunk is here and verified."""
+        """Return whether a chunk is stored and verified."""
         return digest in self.sizes
 
     def __contains__(self, digest: str) -> bool:
         return digest in self.sizes
 
     def write(self, digest: str, data: bytes) -> None:
-        """Keep the bytes of a chunk."""
+        """Write the bytes of a chunk."""
         self.chunks[digest] = data
 
     def erase(self, digest: str) -> None:
-        """Drop the bytes of a chunk."""
+        """Delete the bytes of a chunk."""
         del self.chunks[digest]
 
     def drop(self, digest: str) -> None:
-        """Drop a chunk."""
+        """Remove a chunk from the store."""
         self.size -= self.sizes.pop(digest)
         self.erase(digest)
 
     def keep_only(self, manifests: Iterable[Manifest]) -> None:
-        """Drop chunks that none of `manifests` names."""
-        wanted = {span.digest for manifest in manifests for span in manifest.spans}
-        for digest in [d for d in self.sizes if d not in wanted]:
+        """Remove all chunks that none of `manifests` contains."""
+        kept = {span.digest for manifest in manifests for span in manifest.spans}
+        for digest in [d for d in self.sizes if d not in kept]:
             self.drop(digest)
 
     def read(self, manifest: Manifest, path: str, start: int, end: int) -> bytes:
@@ -99,7 +100,7 @@
         Raises
         ------
         WeightsError
-            A chunk is not here.
+            A chunk is not stored here.
         """
         return b"".join(self.iterate(manifest, path, start, end))
 
@@ -111,7 +112,8 @@
             data = self.get(span.digest)
             if data is None:
                 raise WeightsError(
-                    ResultCode.SOURCE_UNAVAILABLE, f"chunk {span.index} is not here"
+                    ResultCode.SOURCE_UNAVAILABLE,
+                    f"chunk {span.index} is not stored here",
                 )
             yield data[max(0, start - span.offset) : end - span.offset]
 
@@ -119,21 +121,21 @@
 def overlapping_spans(
     manifest: Manifest, path: str, start: int, end: int
 ) -> Iterator[Span]:
-    """Yield the chunks of a file that hold some of ``start`` to ``end``."""
+    """Yield the chunks of a file that overlap bytes ``start`` to ``end``."""
     for span in manifest.spans:
         if span.path == path and span.offset < end and start < span.end:
             yield span
 
 
 class FolderStore(ChunkStore):
-    """Chunks as files of a scratch folder, verified on each read.
+    """Store of chunks as files in a scratch folder, verified on each read.
 
     Parameters
     ----------
     folder : str
-        Made if missing; its files are this store's alone.
+        Created if missing; the store owns all files in it.
     limit_bytes : int
-        Most bytes kept; 0 for no limit.
+        Maximum size in bytes; 0 for no limit.
     """
 
     def __init__(self, folder: str, limit_bytes: int = 0):
@@ -144,7 +146,7 @@
             self.adopt(path)
 
     def adopt(self, path: Path) -> None:
-        """Count a file that an earlier run left; drop a half-written one."""
+        """Add a file left by an earlier run; delete a partly written one."""
         if path.suffix:
             path.unlink()
             return
@@ -152,7 +154,7 @@
         self.size += self.sizes[path.name]
 
     def write(self, digest: str, data: bytes) -> None:
-        """Write a chunk whole: a crash leaves a file that is dropped later."""
+        """Write a chunk atomically; a crash leaves a file that the next run deletes."""
         part = self.folder / f"{digest}.part"
         try:
             part.write_bytes(data)
@@ -163,11 +165,11 @@
             ) from error
 
     def erase(self, digest: str) -> None:
-        """Remove a chunk's file."""
+        """Delete the file of a chunk."""
         (self.folder / digest).unlink(missing_ok=True)
 
     def get(self, digest: str) -> bytes | None:
-        """Read and verify a chunk; a damaged one is dropped."""
+        """Read and verify a chunk; remove it if it is corrupted."""
         if digest not in self.sizes:
             return None
         try:
@@ -180,5 +182,5 @@
         return data
 
     def verify(self, digest: str) -> bool:
-        """Tell whether a chunk is here and its bytes still match."""
+        """Return whether a chunk is stored and its bytes match the digest."""
         return self.get(digest) is not None
--- a/src/wisteriapulley/weights/desired_versions.py
+++ b/src/wisteriapulley/weights/desired_versions.py
@@ -1,47 +1,47 @@
-"""Which versions of weights were named, and since when. Pure.
+"""Desired versions of weights, and when operators first named each. Pure.
 
-A version that was named may be followed by another one before it is in place
-anywhere. How long an older version may still serve is told from the first newer
-one, so more than the newest is remembered.
+A newer version may be named before the previous one is loaded anywhere. The grace
+period of a superseded version runs from the first newer version, so more than the
+newest version is kept.
 """
 
-# Versions of one model that are remembered: more than come in the time that a
-# replaced one may serve.
+# Versions kept per model: more than can be named within the grace period of a
+# superseded version.
 MAX_VERSIONS_KEPT = 8
 
 
 class DesiredVersions:
-    """Versions of each model and when each was first heard of."""
+    """Desired versions of each model, and when each was first named."""
 
     def __init__(self):
         self.named_at: dict[str, dict[int, float]] = {}
 
     def record(self, model: str, version: int, named_at: float) -> bool:
-        """Note a version; of two times the earlier one counts.
+        """Record a version; of two times for the same version, the earlier is kept.
 
         Returns
         -------
         bool
-            Whether the version is new here.
+            Whether the version was not known before.
         """
         known = self.named_at.setdefault(model, {})
         if version in known:
             known[version] = min(known[version], named_at)
             return False
         known[version] = named_at
-        for old in sorted(known)[:-MAX_VERSIONS_KEPT]:
-            del known[old]
+        for superseded in sorted(known)[:-MAX_VERSIONS_KEPT]:
+            del known[superseded]
         return version in known
 
     def versions_of(self, model: str) -> list[tuple[int, float]]:
-        """Return the versions of a model and their times, newest last."""
+        """Return the versions of a model and when each was named, newest last."""
         return sorted(self.named_at.get(model, {}).items())
 
     def newest(self, model: str) -> int:
-        """Return the newest version of a model; 0 before the first."""
+        """Return the newest version of a model; 0 if there is none."""
         return max(self.named_at.get(model, {0: 0.0}))
 
     def superseded_at(self, model: str, held: int) -> float | None:
-        """Return when the first version newer than `held` was named, if any."""
+        """Return when the first version newer than `held` was named, or None."""
         newer = [s for v, s in self.named_at.get(model, {}).items() if v > held]
         return min(newer, default=None)
--- a/src/wisteriapulley/weights/download.py
+++ b/src/wisteriapulley/weights/download.py
@@ -1,10 +1,11 @@
-"""Takes the missing pieces of one version from whoever holds them.
-
-Load: after a version is named all engines copy it through instances that are still
-copying it themselves, from an origin that may go away in the middle. Harm prevented:
-a copy that asks for its pieces in order stands at the first one that nobody holds,
-while later ones could be had. So each source says which pieces it holds, and tells at
-once when it has more; only those are asked for, several at a time.
+"""Download of the missing pieces of one version from several holders.
+
+When a version becomes the desired one, all engines download it through instances that
+are still downloading it themselves, from an origin that may become unreachable in the
+middle. A download that requested its pieces in order would block at the first piece
+that no instance holds, while later ones are available. So each holder reports which
+pieces it holds, and reports new ones at once; only these are requested, several at a
+time.
 """
 
 import asyncio
@@ -20,21 +21,21 @@
 
 log = logging.getLogger(__name__)
 
-# Sources come and go: an instance dies, a nearer one is found.
+# Interval for refreshing the holders: an instance may fail, or a nearer one be found.
 HOLDER_REFRESH_S = 0.25
 
 
 class PieceHolder(Protocol):
-    """Where pieces come from.
+    """Holder of pieces that a download can ask.
 
     Attributes
     ----------
     name : str
-        For logs.
+        Name for log lines.
     key : hashable
-        Tells holders apart: one that is reached in another way is another one.
-    at_once : int
-        Pieces to ask of it at the same time, at most.
+        Identifies the holder; the same holder over another path has another key.
+    max_in_flight : int
+        Maximum number of pieces in flight from this holder.
     """
 
     name: str
@@ -42,12 +43,12 @@
     max_in_flight: int
 
     async def held_pieces(self, manifest: PieceManifest, known: int) -> frozenset[int]:
-        """Return the pieces that it holds, once they are more than `known`.
+        """Return the pieces that it holds, once there are more than `known`.
 
         Raises
         ------
         WisteriapulleyError
-            It does not answer.
+            The holder does not answer.
         """
 
     async def piece(self, model: str, version: int, position: int) -> bytes:
@@ -56,24 +57,24 @@
         Raises
         ------
         WisteriapulleyError
-            It can't be had there now.
+            The holder can't provide the piece now.
         """
 
 
 class HolderState:
-    """A holder, as far as a download knows it.
+    """State of one holder within a download.
 
     Attributes
     ----------
     held : frozenset of int
-        Pieces that it holds.
-    flying : int
-        Pieces asked of it now.
+        Pieces that the holder has reported.
+    in_flight : int
+        Number of pieces in flight from it.
     failed : bool
-        Whether the last piece could not be had: it is then asked for one at a time
-        until one comes.
-    asked_again_s : float
-        When it may be asked again after a failure.
+        Whether the last request failed; requests then go out one at a time until
+        one succeeds.
+    retry_at_s : float
+        Earliest time of the next request after a failure, in seconds.
     """
 
     def __init__(self, holder: PieceHolder):
@@ -85,29 +86,30 @@
         self.watch_task: asyncio.Task | None = None
 
     def can_ask(self, now_s: float) -> bool:
-        """Tell whether another piece may be asked of it now."""
+        """Return whether another piece may be requested from it now."""
         if self.failed:
             return self.in_flight == 0 and now_s >= self.retry_at_s
         return self.in_flight < self.holder.max_in_flight
 
 
 class Download:
-    """Fetches pieces until none is missing.
+    """Fetch pieces until none is missing.
 
     Parameters
     ----------
     manifest : PieceManifest
-        The version.
+        Manifest of the version.
     missing : iterable of int
         Pieces to fetch.
     holders : callable
-        Takes the seconds since a piece last came; returns who may be asked now.
-    keep : callable
+        Takes the seconds since the last piece arrived; returns the holders to ask
+        now.
+    store : callable
         Awaited with the position and the verified bytes of each piece.
-    in_flight : int
-        Pieces fetched at the same time.
+    max_in_flight : int
+        Maximum number of pieces in flight.
     retry_s : float
-        Seconds between two questions to a holder that failed.
+        Delay before a holder that failed is asked again, in seconds.
     """
 
     def __init__(
@@ -116,15 +118,15 @@
         missing: Iterable[int],
         holders: Callable[[float], list[PieceHolder]],
         store: Callable[[int, bytes], Awaitable[None]],
-        in_flight: int,
+        max_in_flight: int,
         retry_s: float,
     ):
         self.manifest = manifest
-        # In the order in which they are asked for; one that failed comes first.
+        # In request order; pieces whose fetch failed go to the front.
         self.missing = dict.fromkeys(sorted(missing))
         self.holders = holders
         self.store = store
-        self.in_flight = in_flight
+        self.max_in_flight = max_in_flight
         self.retry_s = retry_s
         self.holder_states: dict[Hashable, HolderState] = {}
         self.requested: set[int] = set()
@@ -132,60 +134,64 @@
         self.last_piece_s = steady_s()
 
     async def run(self) -> None:
-        """Fetch all that is missing, however long it takes."""
+        """Fetch all missing pieces, without a time limit."""
         self.refresh_holders()
         async with asyncio.TaskGroup() as group:
-            looking = group.create_task(self.refresh_holders_periodically())
+            refresh_task = group.create_task(self.refresh_holders_periodically())
             workers = [
-                group.create_task(self.run_worker()) for _ in range(self.in_flight)
+                group.create_task(self.run_worker()) for _ in range(self.max_in_flight)
             ]
             try:
                 await asyncio.gather(*workers)
             finally:
-                looking.cancel()
-                for source in self.holder_states.values():
-                    source.watch_task.cancel()
+                refresh_task.cancel()
+                for state in self.holder_states.values():
+                    state.watch_task.cancel()
 
     def keep_only(self, missing: Iterable[int]) -> None:
-        """Leave out pieces that are missing no more."""
-        wanted = set(missing)
-        self.missing = {p: None for p in self.missing if p in wanted}
+        """Drop pieces that are no longer missing."""
+        still_missing = set(missing)
+        self.missing = {p: None for p in self.missing if p in still_missing}
         self.changed.set()
 
     def stalled_s(self) -> float:
-        """Return the seconds since a piece last came."""
+        """Return the seconds since the last piece arrived."""
         return steady_s() - self.last_piece_s
 
-    # -- who holds what --------------------------------------------------
+    # -- holders ---------------------------------------------------------
 
     async def refresh_holders_periodically(self) -> None:
-        """Turn to other holders as they come and go."""
+        """Refresh the holders at a fixed interval."""
         while True:
             await asyncio.sleep(HOLDER_REFRESH_S)
             self.refresh_holders()
 
     def refresh_holders(self) -> None:
-        """Watch those that may be asked now, and no others."""
+        """Watch exactly the holders that may be asked now."""
         holders = {h.key: h for h in self.holders(self.stalled_s())}
         for key in set(self.holder_states) - set(holders):
             self.holder_states.pop(key).watch_task.cancel()
         loop = asyncio.get_running_loop()
         for key, holder in holders.items():
             if key not in self.holder_states:
-                source = self.holder_states[key] = HolderState(holder)
-                source.watch_task = loop.create_task(self.watch_held_pieces(source))
+                state = self.holder_states[key] = HolderState(holder)
+                state.watch_task = loop.create_task(self.watch_held_pieces(state))
 
-    async def watch_held_pieces(self, source: HolderState) -> None:
-        """Know what a source holds until it holds everything."""
+    async def watch_held_pieces(self, state: HolderState) -> None:
+        """Keep the state of a holder up to date until it holds all pieces."""
         total = len(self.manifest.digests)
-        while len(source.held) < total:
+        while len(state.held) < total:
             try:
-                source.held = await source.holder.held_pieces(
-                    self.manifest, len(source.held)
+                state.held = await state.holder.held_pieces(
+                    self.manifest, len(state.held)
                 )
                 self.changed.set()
             except WisteriapulleyError as error:
-                log.info("%s told no pieces: %s", source.holder.name, error)
+                log.info(
+                    "could not query the pieces held by %s: %s",
+                    state.holder.name,
+                    error,
+                )
                 await asyncio.sleep(self.retry_s)
 
     # -- fetching --------------------------------------------------------
@@ -198,60 +204,64 @@
             if chosen is None:
                 await self.wait_for_change()
                 continue
-            position, source = chosen
-            await self.fetch(position, source)
+            position, state = chosen
+            await self.fetch(position, state)
         self.changed.set()
 
     def choose_piece(self, now_s: float) -> tuple[int, HolderState] | None:
-        """Choose a piece that can be had, and whom to ask for it."""
-        sources = sorted(
+        """Choose an available piece and the holder to fetch it from."""
+        states = sorted(
             (s for s in self.holder_states.values() if s.can_ask(now_s)),
-            key=lambda source: source.in_flight,
+            key=lambda state: state.in_flight,
         )
         for position in self.missing:
             if position in self.requested:
                 continue
-            for source in sources:
-                if position in source.held:
-                    return position, source
+            for state in states:
+                if position in state.held:
+                    return position, state
         return None
 
     async def wait_for_change(self) -> None:
-        """Wait until there is something to choose again."""
+        """Wait until another piece may have become available."""
         self.changed.clear()
         with contextlib.suppress(TimeoutError):
-            failed = any(source.failed for source in self.holder_states.values())
+            failed = any(state.failed for state in self.holder_states.values())
             async with asyncio.timeout(self.retry_s if failed else HOLDER_REFRESH_S):
                 await self.changed.wait()
 
-    async def fetch(self, position: int, source: HolderState) -> None:
-        """Fetch one piece from a source; one that did not come stays missing."""
+    async def fetch(self, position: int, state: HolderState) -> None:
+        """Fetch one piece from a holder; after a failure it stays missing."""
         manifest = self.manifest
         self.requested.add(position)
-        source.in_flight += 1
+        state.in_flight += 1
         try:
-            data = await source.holder.piece(manifest.model, manifest.version, position)
+            data = await state.holder.piece(manifest.model, manifest.version, position)
             data = manifest.check(position, data)
         except WisteriapulleyError as error:
-            self.record_failure(position, source, error)
+            self.record_failure(position, state, error)
             return
         finally:
-            source.in_flight -= 1
+            state.in_flight -= 1
             self.requested.discard(position)
-        source.failed = False
+        state.failed = False
         self.last_piece_s = steady_s()
         self.missing.pop(position, None)
         await self.store(position, data)
         self.changed.set()
 
     def record_failure(
-        self, position: int, source: HolderState, error: WisteriapulleyError
+        self, position: int, state: HolderState, error: WisteriapulleyError
     ) -> None:
-        """Ask again soon: a spoilt piece at once, a silent source after a pause."""
-        log.info("piece not had: %s", error, extra=fields(code=error.code))
+        """Record a failed fetch.
+
+        The piece goes to the front of the missing ones. A corrupted piece may be
+        requested again at once; after other failures the holder gets a pause.
+        """
+        log.info("could not fetch piece: %s", error, extra=fields(code=error.code))
         if position in self.missing:
             self.missing = {position: None} | self.missing
         if error.code is not ResultCode.CHUNK_CORRUPTED:
-            source.failed = True
-            source.retry_at_s = steady_s() + self.retry_s
+            state.failed = True
+            state.retry_at_s = steady_s() + self.retry_s
         self.changed.set()
--- a/src/wisteriapulley/weights/manifest.py
+++ b/src/wisteriapulley/weights/manifest.py
@@ -1,7 +1,7 @@
 """Manifest of a version: its files and the digest of every chunk.
 
-The digest of the manifest names the version. Chunks don't span files, so two
-versions share the chunks of files that did not change.
+The digest of the manifest identifies the version. Chunks don't span files, so two
+versions share the chunks of unchanged files.
 """
 
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 
 
 class ManifestFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One file: path below the root with ``/``, size in bytes, chunk digests."""
+    """One file: relative path with ``/``, size in bytes, chunk digests."""
 
     path: str
     size: int
@@ -27,7 +27,7 @@
 
 
 class Span(NamedTuple):
-    """Where a chunk lies."""
+    """Location of a chunk within the files of a version."""
 
     index: int
     digest: str
@@ -37,7 +37,7 @@
 
     @property
     def end(self) -> int:
-        """Offset behind its last byte."""
+        """Offset just past the last byte."""
         return self.offset + self.length
 
 
@@ -47,7 +47,7 @@
     Attributes
     ----------
     chunk_bytes : int
-        Length of every chunk but the last of a file.
+        Length in bytes of every chunk but the last of a file.
     files : tuple of ManifestFile
         Sorted by path.
     """
@@ -57,66 +57,70 @@
 
     @classmethod
     def from_bytes(cls, data: bytes, digest: str = "") -> "Manifest":
-        """Decode and check a manifest.
+        """Decode and validate a manifest.
 
         Parameters
         ----------
         data : bytes
-            As `to_bytes` made it.
+            Encoded manifest, as returned by `to_bytes`.
         digest : str, optional
-            The version that it must be.
+            Expected digest of the manifest, which identifies the version.
 
         Raises
         ------
         WeightsError
-            It is malformed, or of another version.
+            The manifest is malformed, or belongs to another version.
         """
         if digest and blake3(data).hexdigest() != digest:
             raise WeightsError(
-                ResultCode.MANIFEST_INVALID, f"manifest is not of version {digest}"
+                ResultCode.MANIFEST_INVALID,
+                f"manifest does not belong to version {digest}",
             )
         try:
             manifest = msgspec.json.decode(data, type=cls)
         except msgspec.DecodeError as error:
             raise WeightsError(ResultCode.MANIFEST_INVALID, str(error)) from error
-        for fault in manifest.validation_errors():
-            raise WeightsError(ResultCode.MANIFEST_INVALID, fault)
+        for message in manifest.validation_errors():
+            raise WeightsError(ResultCode.MANIFEST_INVALID, message)
         return manifest
 
     def validation_errors(self) -> Iterator[str]:
-        """Yield what is wrong with it."""
+        """Yield a message for each validation error."""
         if self.chunk_bytes <= 0:
-            yield f"chunk_bytes: expected above 0, got {self.chunk_bytes}"
+            yield f"chunk_bytes: expected a positive number, got {self.chunk_bytes}"
             return
         paths = [file.path for file in self.files]
         if paths != sorted(set(paths)):
-            yield "files: expected sorted paths, each once"
+            yield "files: expected sorted paths without duplicates"
         for file in self.files:
             parts = file.path.split("/")
             if not file.path or any(part in ("", ".", "..") for part in parts):
                 yield f"path: expected a relative path, got {file.path!r}"
             if len(file.chunks) != -(-file.size // self.chunk_bytes):
-                yield f"{file.path}: {len(file.chunks)} chunks do not make {file.size}"
+                yield (
+                    f"{file.path}: number of chunks {len(file.chunks)} does not match"
+                    f" the size of {file.size} bytes"
+                )
             if any(len(digest) != DIGEST_CHARACTERS for digest in file.chunks):
-                yield f"{file.path}: a chunk digest is not 64 hexadecimal digits"
+                yield f"{file.path}: expected chunk digests of 64 hexadecimal digits"
 
     def to_bytes(self) -> bytes:
-        """Encode; the same manifest always gives the same bytes."""
+        """Encode the manifest; equal manifests give equal bytes."""
         return msgspec.json.encode(self)
 
     @cached_property
     def digest(self) -> str:
-        """Digest that names the version, 64 hexadecimal digits."""
+        """Digest that identifies the version, 64 hexadecimal digits."""
         return blake3(self.to_bytes()).hexdigest()
 
     @cached_property
     def size(self) -> int:
-        """Bytes of all files."""
+        """Total size of all files in bytes."""
         return sum(file.size for file in self.files)
 
     @cached_property
     def spans(self) -> tuple[Span, ...]:
-        """Every chunk in order."""
+        """All chunks in order."""
         return tuple(
             Span(index, *rest) for index, rest in enumerate(self.locate_chunks())
         )
@@ -148,14 +152,14 @@
     Parameters
     ----------
     folder : str
-        Root of the tree.
+        Root of the file tree.
     chunk_bytes : int
-        Length of a chunk.
+        Length of a chunk in bytes.
 
     Raises
     ------
     WeightsError
-        The folder is missing or has no file.
+        The folder is missing or contains no file.
     """
     root = Path(folder)
     paths = sorted(
@@ -163,7 +167,8 @@
     )
     if not paths:
         raise WeightsError(
-            ResultCode.MANIFEST_INVALID, f"{folder}: expected a folder with files"
+            ResultCode.MANIFEST_INVALID,
+            f"{folder}: expected a folder that contains files",
         )
     files = tuple(
         ManifestFile(
@@ -177,17 +182,18 @@
 
 
 def verify_folder(folder: str, manifest: Manifest) -> None:
-    """Check a file tree against its manifest.
+    """Verify a file tree against its manifest.
 
     Raises
     ------
     WeightsError
-        A file is missing, or a chunk differs; the message names it.
+        A file is missing or not listed, or a chunk differs; the message names the
+        file or the folder.
     """
     found = build_manifest(folder, manifest.chunk_bytes)
-    theirs = {(s.path, s.offset): s.digest for s in found.spans}
+    found_digests = {(s.path, s.offset): s.digest for s in found.spans}
     for span in manifest.spans:
-        if theirs.get((span.path, span.offset)) != span.digest:
+        if found_digests.get((span.path, span.offset)) != span.digest:
             raise WeightsError(
                 ResultCode.CHUNK_CORRUPTED,
                 f"{folder}: {span.path} differs at byte {span.offset}",
@@ -195,5 +201,5 @@
     if found.digest != manifest.digest:
         raise WeightsError(
             ResultCode.MANIFEST_INVALID,
-            f"{folder}: holds files that the manifest does not name",
+            f"{folder}: contains files that the manifest does not list",
         )
--- a/src/wisteriapulley/weights/origin.py
+++ b/src/wisteriapulley/weights/origin.py
@@ -1,15 +1,15 @@
-"""The origin of weights as one of those that hold pieces."""
+"""The origin of weights as a holder of pieces."""
 
 from wisteriapulley.weights.pieces import PieceManifest, PieceSource
 
 
 class OriginHolder:
-    """The origin, which holds every piece of the versions that it names.
+    """Piece holder for the origin, which holds all pieces of each of its versions.
 
     Parameters
     ----------
     source : PieceSource
-        Asks it.
+        Client of the origin.
     """
 
     name = key = "origin"
@@ -24,7 +24,7 @@
         return frozenset(range(len(manifest.digests)))
 
     async def manifest(self, model: str, version: int) -> PieceManifest:
-        """Return a manifest; version 0 is the newest."""
+        """Return a manifest; version 0 stands for the newest."""
         return await self.source.manifest(model, version)
 
     async def piece(self, model: str, version: int, position: int) -> bytes:
--- a/src/wisteriapulley/weights/pieces.py
+++ b/src/wisteriapulley/weights/pieces.py
@@ -1,4 +1,4 @@
-"""Manifests of versions that have a number, and where their pieces come from."""
+"""Manifests of numbered versions, and the interface of the sources of pieces."""
 
 import hashlib
 from typing import NamedTuple, Protocol
@@ -14,11 +14,11 @@
     model : str
         Name of the model.
     version : int
-        Number of the version; a higher one replaces a lower one.
+        Number of the version; a higher one supersedes a lower one.
     chunk_bytes : int
-        Size of a piece.
+        Size of a piece in bytes.
     layers : int
-        Layers that the pieces make up together.
+        Number of model layers in all pieces together.
     digests : tuple of bytes
         SHA-256 of each piece.
     """
@@ -30,7 +30,7 @@
     digests: tuple[bytes, ...]
 
     def matches(self, position: int, data: bytes) -> bool:
-        """Tell whether `data` is the piece at `position`."""
+        """Return whether `data` is the piece at `position`."""
         return hashlib.sha256(data).digest() == self.digests[position]
 
     def check(self, position: int, data: bytes) -> bytes:
@@ -39,28 +39,28 @@
         Raises
         ------
         WeightsError
-            CHUNK_CORRUPTED.
+            CHUNK_CORRUPTED: the digest does not match.
         """
         if not self.matches(position, data):
             raise WeightsError(
                 ResultCode.CHUNK_CORRUPTED,
                 f"{self.model} version {self.version} piece {position}: expected"
                 f" digest {self.digests[position].hex()[:16]}, got {len(data)} bytes"
-                " of another",
+                " with another digest",
             )
         return data
 
 
 class PieceSource(Protocol):
-    """Where manifests and pieces come from."""
+    """Source of manifests and pieces."""
 
     async def manifest(self, model: str, version: int) -> PieceManifest:
-        """Return a manifest; version 0 is the newest.
+        """Return a manifest; version 0 stands for the newest.
 
         Raises
         ------
         WeightsError
-            SOURCE_UNAVAILABLE.
+            SOURCE_UNAVAILABLE: the source can't provide it now.
         """
 
     async def piece(self, model: str, version: int, position: int) -> bytes:
@@ -69,5 +69,5 @@
         Raises
         ------
         WeightsError
-            SOURCE_UNAVAILABLE.
+            SOURCE_UNAVAILABLE: the source can't provide it now.
         """
--- a/src/wisteriapulley/weights/random_set.py
+++ b/src/wisteriapulley/weights/random_set.py
@@ -1,8 +1,11 @@
-"""A set with a random pick in constant time."""
+"""Set with a random choice in constant time."""
 
 
 class RandomSet:
-    """Set of chunk indexes with a random pick in constant time."""
+    """Set of chunk indexes with a random choice in constant time.
+
+    The caller draws an index into `items`.
+    """
 
     def __init__(self):
         self.items: list[int] = []
@@ -12,23 +15,23 @@
         return len(self.items)
 
     def add(self, item: int) -> None:
-        """Add an item that is not in it."""
+        """Add an item, which must not be in the set."""
         self.positions[item] = len(self.items)
         self.items.append(item)
 
     def discard(self, item: int) -> None:
-        """Remove an item if it is in it."""
-        place = self.positions.pop(item, None)
-        if place is None:
+        """Remove an item if it is in the set."""
+        position = self.positions.pop(item, None)
+        if position is None:
             return
         last = self.items.pop()
         if last != item:
-            self.items[place] = last
-            self.positions[last] = place
-
-    def move(self, item: int, place: int) -> None:
-        """Swap an item to a place."""
-        here = self.positions[item]
-        other = self.items[place]
-        self.items[here], self.items[place] = other, item
-        self.positions[other], self.positions[item] = here, place
+            self.items[position] = last
+            self.positions[last] = position
+
+    def move(self, item: int, position: int) -> None:
+        """Move an item to a position, swapping it with the item there."""
+        old_position = self.positions[item]
+        other = self.items[position]
+        self.items[old_position], self.items[position] = other, item
+        self.positions[other], self.positions[item] = old_position, position
--- a/src/wisteriapulley/weights/relay.py
+++ b/src/wisteriapulley/weights/relay.py
@@ -1,10 +1,11 @@
-"""Hands pieces of weights on from control instances, which have wide links.
-
-Load: after a version is named, every sidecar wants every piece at once, and the
-origin's link carries few copies. One instance next to the origin draws one copy;
-the others take it from there, so that it crosses each region's border once; the
-sidecars of a region take it from the instances of their region. Each of them says
-which pieces it holds, so that nobody waits for one that can't be had yet.
+"""Relay of weight pieces through control instances, which have fast links.
+
+When an operator sets a new desired version, every sidecar requests every piece at
+once, but the origin's link carries only a few copies. So one control instance near
+the origin downloads one copy, and the other control instances fetch it from there,
+so that it crosses each region's border once. The sidecars of a region fetch from the
+control instances of their region. Each of these reports which pieces it holds, so
+that nobody waits for a piece that is not available yet.
 """
 
 import asyncio
@@ -21,48 +22,49 @@
 
 log = logging.getLogger(__name__)
 
-# Pieces that are asked for at the same time: fills a link of 10 Mbit/s with a
-# few milliseconds of latency, and queues at most 130 kB on it.
+# Fills a link of 10 Mbit/s with a few milliseconds of latency, and queues at most
+# 130 kB on it.
 MAX_PIECES_IN_FLIGHT = 4
-# Pieces asked of another instance at the same time: twice what its link to the origin
-# brings meanwhile. Its log and its news travel on the same connection, and wait behind
-# 64 KiB for 39 ms at most on a link of 13.5 Mbit/s between regions.
+# Twice what the upstream instance's link to the origin delivers in the meantime.
+# Consensus log entries and state updates share the connection; behind 64 KiB they wait
+# at most 39 ms on a link of 13.5 Mbit/s between regions.
 MAX_PIECES_PER_LINK = 2
-# A piece takes 26 ms on a link of 10 Mbit/s; past this time another source is
+# A piece takes 26 ms on a link of 10 Mbit/s; after this time-out another source is
 # asked.
 PIECE_TIMEOUT_S = 0.8
-# The origin's manifest may have to be asked for more than once.
+# Leaves time for more than one request for the manifest to the origin.
 MANIFEST_TIMEOUT_S = 3.0
-# Whoever asks for a manifest that can't be had yet waits for it here so long: less
-# than it waits for the answer.
+# How long a request waits here for a manifest that is not available yet; shorter than
+# the caller's time-out.
 MAX_MANIFEST_WAIT_S = 2.5
-# An instance that holds no more pieces than were known answers after so long.
+# An instance without new pieces replies to a `HeldQuery` after this time.
 MAX_HELD_WAIT_MS = 1000
 HELD_TIMEOUT_S = MAX_HELD_WAIT_MS / 1000 + PIECE_TIMEOUT_S
-# Without a new piece for so long the origin itself is asked, one piece at a time, by
-# an instance that else takes them from another: it may be cut off from that one, or
-# that one from the origin. Far above a round through the instances between.
+# Without a new piece for this long, an instance that fetches from another instance
+# also asks the origin, one piece at a time: it may be cut off from its upstream, or the
+# upstream from the origin. Far longer than a round trip through the instances between.
 UPSTREAM_STALLED_AFTER_S = 2.5
-# An instance that takes its pieces from another waits so long before it asks an origin
-# again that gave none: the one that all others take theirs from finds it back first.
+# Delay of a `ThrottledHolder` after a failure, so that the instance that all others
+# fetch from is the first to detect that the origin has recovered.
 THROTTLED_RETRY_DELAY_S = 1.0
-# The origin may hand out spoilt bytes and lose its connections.
+# The origin may send corrupted bytes and drop connections.
 MAX_ATTEMPTS = 8
-# One more try costs a connection at most; the origin's return is found as soon.
+# A retry costs at most one connection, and a short delay detects the origin's recovery
+# early.
 RETRY_DELAY_S = 0.1
-# After a round in which some could not be had, the missing ones are asked for again.
+# Delay before the missing pieces are requested again after a failed round.
 ROUND_RETRY_DELAY_S = 0.2
-# Of so many tries one goes to the origin itself where another instance is to be
-# asked: for one that is cut off from the origin alone.
+# After this many attempts at the upstream instance, one goes to the origin itself, in
+# case the upstream alone is cut off from the origin.
 ATTEMPTS_BEFORE_ORIGIN = 5
-# A version in force and the one that follows it.
+# The current version and the one that supersedes it.
 KEPT_VERSIONS = 2
 
 PieceKey = tuple[str, int, int]
 
 
 class LinkHolder:
-    """Pieces from another control instance."""
+    """Pieces held by another control instance, fetched over a link."""
 
     def __init__(self, link: Link):
         self.link = link
@@ -71,27 +73,28 @@
         self.max_in_flight = MAX_PIECES_PER_LINK
 
     async def held_pieces(self, manifest: PieceManifest, known: int) -> frozenset[int]:
-        """Ask which pieces it holds; see `download.PieceHolder`."""
+        """Return the pieces that it holds; see `download.PieceHolder`."""
         return await query_held_pieces(self.link, manifest, known)
 
     async def manifest(self, model: str, version: int) -> PieceManifest:
-        """Ask for a manifest."""
+        """Request a manifest."""
         frame = await self.link.request(
             messages.ManifestQuery(model, version), MANIFEST_TIMEOUT_S
         )
         return manifest_from_reply(frame.message)
 
     async def piece(self, model: str, version: int, position: int) -> bytes:
-        """Ask for a whole piece."""
+        """Request a whole piece."""
         query = messages.PieceQuery(model, version, position)
         return (await self.link.request(query, PIECE_TIMEOUT_S)).body
 
 
 class ThrottledHolder:
-    """Another holder, asked for one piece at a time, and seldom while it gives none.
+    """Limit requests to another holder.
 
-    Load: the origin is away while all instances wait for it. Harm prevented: at its
-    return each of them draws the same pieces over one narrow link.
+    Requests go out one at a time, with a delay after each failure. Without this limit,
+    when the origin has been unreachable and recovers, each instance that waits for it
+    would download the same pieces over one slow link.
     """
 
     max_in_flight = 1
@@ -102,11 +105,11 @@
         self.key = (ThrottledHolder, holder.key)
 
     async def held_pieces(self, manifest: PieceManifest, known: int) -> frozenset[int]:
-        """Return which pieces it holds; see `download.PieceHolder`."""
+        """Return the pieces that the holder has; see `download.PieceHolder`."""
         return await self.holder.held_pieces(manifest, known)
 
     async def piece(self, model: str, version: int, position: int) -> bytes:
-        """Return a piece, not verified."""
+        """Return a piece, not verified; after a failure, delay the error."""
         try:
             return await self.holder.piece(model, version, position)
         except WisteriapulleyError:
@@ -117,7 +120,11 @@
 async def query_held_pieces(
     link: Link, manifest: PieceManifest, known: int
 ) -> frozenset[int]:
-    """Ask over a link which pieces are held there, once they are more than known."""
+    """Return the pieces held at the other end of a link.
+
+    The reply comes once there are more than `known` pieces, or after
+    `MAX_HELD_WAIT_MS`.
+    """
     query = messages.HeldQuery(
         manifest.model, manifest.version, known, MAX_HELD_WAIT_MS
     )
@@ -126,22 +133,22 @@
 
 
 def manifest_from_reply(reply: messages.ManifestReply) -> PieceManifest:
-    """Read a manifest from the wire."""
+    """Convert a wire message to a manifest."""
     return PieceManifest(*reply)
 
 
 def manifest_reply(manifest: PieceManifest) -> messages.ManifestReply:
-    """Write a manifest for the wire."""
+    """Convert a manifest to a wire message."""
     return messages.ManifestReply(*manifest)
 
 
 class Relay:
-    """Pieces that one control instance holds in memory.
+    """Fetch pieces once and serve them from the memory of one control instance.
 
     Parameters
     ----------
     sources : callable
-        Returns where to ask now, best first.
+        Returns the sources to ask now, best first.
     """
 
     def __init__(self, sources: Callable[[], list[PieceHolder]]):
@@ -152,11 +159,11 @@
         self.fetch_slots = asyncio.Semaphore(MAX_PIECES_IN_FLIGHT)
         self.prefetch_tasks: dict[str, tuple[int, asyncio.Task]] = {}
         self.manifest_tasks: dict[tuple[str, int], asyncio.Task] = {}
-        # Set, and made anew, with each piece and each manifest that comes.
+        # Set and replaced by a new event when a piece or a manifest arrives.
         self.changed = asyncio.Event()
 
     async def manifest(self, model: str, version: int) -> PieceManifest:
-        """Return a manifest; callers that want the same one share the question."""
+        """Return a manifest; concurrent callers share one request."""
         manifest = self.manifests.get((model, version))
         if manifest is not None:
             return manifest
@@ -169,7 +176,7 @@
         return await asyncio.shield(task)
 
     async def fetch_manifest(self, key: tuple[str, int]) -> PieceManifest:
-        """Ask for a manifest once, and keep it."""
+        """Fetch a manifest from the sources and store it."""
         model, version = key
         manifest = await self.ask_sources_for_manifest(model, version)
         self.manifests[model, manifest.version] = manifest
@@ -178,41 +185,41 @@
         return manifest
 
     async def wait_manifest(self, model: str, version: int) -> PieceManifest:
-        """Return a manifest, waiting for one that can't be had yet.
+        """Return a manifest, waiting for one that is not available yet.
 
-        Load: at the start of a fleet all sidecars and instances ask before the origin
-        answers. Harm prevented: each refusal is followed by the next question, 6,275
-        in the first four seconds of 70 instances.
+        When a fleet starts, all sidecars and control instances ask before the origin
+        answers. Without the wait, callers retry after each error: 70 instances send
+        6,275 requests in the first four seconds.
 
         Raises
         ------
         WeightsError
-            SOURCE_UNAVAILABLE: it did not come in time.
+            SOURCE_UNAVAILABLE: the manifest did not arrive in time.
         """
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + MAX_MANIFEST_WAIT_S
+        deadline_s = loop.time() + MAX_MANIFEST_WAIT_S
         while True:
             try:
                 return await self.manifest(model, version)
             except WisteriapulleyError:
-                # Logged where it was asked.
-                if loop.time() > until_s:
+                # Already logged by `ask_sources_for_manifest`.
+                if loop.time() > deadline_s:
                     raise
             await asyncio.sleep(ROUND_RETRY_DELAY_S)
 
     async def ask_sources_for_manifest(self, model: str, version: int) -> PieceManifest:
-        """Ask the sources in turn for a manifest."""
+        """Request a manifest from one source after another."""
         failure: WisteriapulleyError | None = None
         for source in self.sources():
             try:
                 return await source.manifest(model, version)
             except WisteriapulleyError as error:
-                log.info("manifest not had: %s", error)
+                log.info("could not fetch manifest: %s", error)
                 failure = error
         raise failure or no_source_error(model)
 
     async def piece(self, model: str, version: int, position: int) -> bytes:
-        """Return a verified piece; callers that want the same one share it."""
+        """Return a verified piece; concurrent callers share one fetch."""
         key = (model, version, position)
         data = self.pieces.get(key)
         if data is not None:
@@ -225,12 +232,12 @@
         return await asyncio.shield(task)
 
     async def fetch_piece(self, key: PieceKey) -> bytes:
-        """Fetch one piece until it fits its digest."""
+        """Fetch one piece, retrying until it matches its digest."""
         model, version, position = key
         manifest = await self.manifest(model, version)
         failure: WisteriapulleyError | None = None
-        # The slot is kept over all tries: one that came bad would else queue
-        # again behind all others, and those who wait for it would wait a second.
+        # The slot is held over all attempts: otherwise a piece that arrived corrupted
+        # would queue again behind all others and delay its callers by a second.
         async with self.fetch_slots:
             for attempt in range(MAX_ATTEMPTS):
                 sources = self.sources()
@@ -242,30 +249,35 @@
                     self.store_piece(key, manifest.check(position, data))
                     return data
                 except WisteriapulleyError as error:
-                    log.info("piece not had: %s", error, extra=fields(code=error.code))
+                    log.info(
+                        "could not fetch piece: %s",
+                        error,
+                        extra=fields(code=error.code),
+                    )
                     failure = error
                 await asyncio.sleep(RETRY_DELAY_S if attempt else 0)
         raise failure or no_source_error(model)
 
     def prefetch(self, model: str, version: int) -> None:
-        """Begin to fetch all pieces of a version, in place of an older one.
+        """Start to fetch all pieces of a version, replacing the fetch of an older one.
 
-        Whoever asks for a manifest wants every piece: without this each piece
-        would wait for its own way from the origin.
+        A caller that asks for a manifest will request every piece; without the
+        prefetch, each piece would be fetched from the origin only on request.
         """
-        known_version, running = self.prefetch_tasks.get(model, (-1, None))
-        if running is not None and not running.done():
+        known_version, running_task = self.prefetch_tasks.get(model, (-1, None))
+        if running_task is not None and not running_task.done():
             if known_version >= version:
                 return
-            running.cancel()
+            running_task.cancel()
         task = asyncio.get_running_loop().create_task(self.fetch_all(model, version))
         self.prefetch_tasks[model] = (version, task)
 
     async def fetch_all(self, model: str, version: int) -> None:
-        """Fetch all pieces, some at a time, until all are held.
+        """Fetch all pieces of a version, retrying until all are held.
 
-        It ends when a newer version takes its place. One that gave up while the
-        origin was away left each piece to be asked for by itself at its return.
+        The task is cancelled when a newer version supersedes this one. It does not
+        give up while the origin is unreachable: otherwise each piece would have to
+        be requested on its own after the origin recovers.
         """
         while True:
             try:
@@ -273,37 +285,42 @@
                 return
             except WisteriapulleyError as error:
                 log.warning(
-                    "weights not held yet: %s", error, extra=fields(code=error.code)
+                    "could not fetch weights, retrying: %s",
+                    error,
+                    extra=fields(code=error.code),
                 )
             await asyncio.sleep(ROUND_RETRY_DELAY_S)
 
     async def fetch_missing(self, model: str, version: int) -> None:
-        """Fetch all pieces from whoever holds them.
+        """Fetch all missing pieces from their holders.
 
         Raises
         ------
         WisteriapulleyError
-            There is no manifest to be had now.
+            No source returns the manifest now.
         """
         manifest = await self.manifest(model, version)
 
-        async def keep(position: int, data: bytes) -> None:
+        async def store(position: int, data: bytes) -> None:
             self.store_piece((model, manifest.version, position), data)
 
         missing = set(range(len(manifest.digests))) - self.held_positions(manifest)
         download = Download(
-            manifest, missing, self.holders, keep, MAX_PIECES_IN_FLIGHT, RETRY_DELAY_S
+            manifest, missing, self.holders, store, MAX_PIECES_IN_FLIGHT, RETRY_DELAY_S
         )
         await download.run()
         log.info("weights held", extra=fields(model=model, version=version))
 
     def holders(self, stalled_s: float) -> list[PieceHolder]:
-        """Return whom to ask for pieces: the origin only where nobody else is.
+        """Return the holders to ask for pieces.
+
+        The origin is included only if it is the sole source or the download has
+        stalled.
 
         Parameters
         ----------
         stalled_s : float
-            Seconds since a piece last came.
+            Seconds since the last piece arrived.
         """
         sources = self.sources()
         if len(sources) < 2:
@@ -312,26 +329,26 @@
             return sources[:-1]
         return [*sources[:-1], ThrottledHolder(sources[-1])]
 
-    # -- what is held ----------------------------------------------------
+    # -- held pieces -----------------------------------------------------
 
     def store_piece(self, key: PieceKey, data: bytes) -> None:
-        """Keep a verified piece, and tell those that wait for more."""
+        """Store a verified piece and wake the waiters."""
         self.pieces[key] = data
         self.notify_waiters()
 
     def notify_waiters(self) -> None:
-        """Let those that wait for more look again."""
+        """Wake all tasks that wait for a piece or a manifest."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def held_positions(self, manifest: PieceManifest) -> set[int]:
-        """Return which pieces of a version are held."""
+        """Return the positions of the held pieces of a version."""
         model, version = manifest.model, manifest.version
         positions = range(len(manifest.digests))
         return {n for n in positions if (model, version, n) in self.pieces}
 
     def held_message(self, model: str, version: int) -> messages.Held:
-        """Return which pieces of a version are held."""
+        """Return the message that lists the held pieces of a version."""
         manifest = self.manifests.get((model, version))
         if manifest is None:
             return messages.Held()
@@ -340,14 +357,14 @@
         return messages.Held(len(positions), total, pack_bitmap(positions, total))
 
     async def wait_held(self, query: messages.HeldQuery) -> messages.Held:
-        """Return which pieces are held once they are more than are known.
+        """Return the held pieces once there are more than the sender already knows.
 
-        Whoever asks wants them all, unless it only looks: they are fetched, but not
-        in place of a newer version.
+        Also starts to fetch the version, because the sender will need all pieces,
+        unless the query sets `only_looks`. The fetch of a newer version goes on.
         """
         held = self.held_message(query.model, query.version)
-        is_whole = held.total and held.pieces == held.total
-        if not (is_whole or query.only_looks):
+        is_complete = held.total and held.pieces == held.total
+        if not (is_complete or query.only_looks):
             self.prefetch(query.model, query.version)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(query.wait_ms / 1000):
@@ -357,7 +374,7 @@
         return held
 
     def drop_superseded(self, model: str) -> None:
-        """Keep the newest versions of a model only."""
+        """Drop all versions of a model but the `KEPT_VERSIONS` newest."""
         versions = sorted(v for m, v in self.manifests if m == model)
         for version in versions[:-KEPT_VERSIONS]:
             del self.manifests[model, version]
@@ -365,7 +382,7 @@
                 del self.pieces[key]
 
     def stop(self) -> None:
-        """Stop fetching."""
+        """Cancel all fetches."""
         for _, task in self.prefetch_tasks.values():
             task.cancel()
         for task in (*self.piece_tasks.values(), *self.manifest_tasks.values()):
@@ -373,26 +390,27 @@
 
 
 def choose_source(sources: list[PieceHolder], attempt: int) -> PieceHolder:
-    """Choose whom to ask for a piece.
+    """Choose the source to ask for a piece.
 
-    Load: the origin is away while all instances draw from it through one another.
-    Harm prevented: when each one that waits asks the origin itself, they all do so
-    at its return, and share a link that carries few copies: the first engine had its
-    copy 5.0 s after the return, 2.4 s with this rule (one replay each, 46 engines).
+    While the origin is unreachable, all instances that fetch through one another wait
+    for it. If each of them asked the origin itself, all would do so as soon as it
+    recovers, and share a link that carries few copies: with 46 engines, the first
+    complete copy then takes 5.0 s from the recovery, against 2.4 s with this rule.
 
     Parameters
     ----------
     sources : list of PieceHolder
         Best first; the last one is the origin.
     attempt : int
-        Tries for this piece so far.
+        Number of attempts for this piece so far.
     """
     asks_origin = attempt % (ATTEMPTS_BEFORE_ORIGIN + 1) == ATTEMPTS_BEFORE_ORIGIN
     return sources[-1] if asks_origin else sources[0]
 
 
 def no_source_error(model: str) -> WeightsError:
-    """Make the error for want of any source."""
+    """Return the error for a model without a source."""
     return WeightsError(
-        ResultCode.SOURCE_UNAVAILABLE, f"{model}: no source of its weights is known"
+        ResultCode.SOURCE_UNAVAILABLE,
+        f"{model}: no source of weights is known for this model",
     )
--- a/src/wisteriapulley/weights/schedule.py
+++ b/src/wisteriapulley/weights/schedule.py
@@ -1,8 +1,10 @@
-"""Schedule of one copy: which chunk from whom, when the origin may be asked.
+"""Fetch schedule of one version: which chunk to request from which source.
 
-Pure: no clock, no sockets, a seeded generator. Load: hundreds of instances
-copy at once while the origin's link carries about four copies and each
-instance's link about two, up and down together.
+Also decides when this instance may request chunks from the origin. The module is
+pure: it reads no clock, opens no sockets and draws from a seeded generator. It is
+designed for hundreds of instances that download at once while the origin's link
+carries about four copies and each instance's link about two, upload and download
+together.
 """
 
 import heapq
@@ -14,56 +16,61 @@
 from wisteriapulley.weights.seeders import Peer, Seeders
 
 ORIGIN = "<origin>"
-# Rate x round trip is less than one chunk here; what a fetch waits for is the
-# sender's queue. With fewer in flight senders run dry in mid-burst (docs/design/
-# burst.md has the figures); more only makes rarest first choose on old news.
+# The bandwidth-delay product is less than one chunk, so a fetch mostly waits in the
+# sender's queue. With fewer fetches in flight, senders go idle in the middle of a
+# burst (figures: docs/design/burst.md); with more, rarest first decides on stale
+# holder counts.
 MAX_PEER_FETCHES = 24
-# A slow neighbour must not hold more than this of our pipeline.
+# Limits how much of the fetch window one slow neighbour can occupy.
 MAX_FETCHES_PER_PEER = 2
-# Two keep the origin's link busy over the round trip; 820 seeders with more
-# would only queue there.
+# Two requests keep the origin's link busy over a round trip; with more, the
+# requests of 820 seeders would only queue at the origin.
 MAX_ORIGIN_FETCHES = 2
-MAX_DRAWS = 24  # Random chunks tried for a free holder in one call.
-# The last chunks are asked twice so that one slow sender does not delay the
-# replica; more copies would waste the links of the others.
+MAX_DRAWS = 24  # Random chunks for which one call looks for a holder.
+# The last chunks are requested from a second source, so that one slow sender does
+# not delay the replica; more duplicates would waste other instances' bandwidth.
 END_GAME_SOURCES = 2
-# A chunk must come within this many times the usual latency, and never must
-# within less than the floor: senders queue, and a queue is no stall.
+# A fetch expires after this many times the smoothed latency, but not before the
+# minimum: a chunk that waits in the sender's queue is not stalled.
 LATENCY_DEADLINE_FACTOR = 8.0
 MIN_DEADLINE_MS = 2_000.0
-# A peer that let a deadline pass is left alone for this long.
+# No requests go to a peer for this long after it missed a deadline.
 SLOW_PEER_BACKOFF_MS = 5_000.0
-# Chunks that trickle in must not put the next rank off without end.
+# A slow trickle of new chunks extends a rank's delay at most by this factor;
+# otherwise it could postpone the next rank forever.
 MAX_RANK_DELAY_FACTOR = 20
 LATENCY_EWMA_WEIGHT = 0.125
-# The origin's answers are watched by their reader; this frees what that misses.
+# The reader of the origin's responses has its own time-outs; this deadline frees
+# fetches that they miss.
 ORIGIN_DEADLINE_MS = 120_000.0
 
 
 class Fetch(NamedTuple):
-    """One chunk to fetch from a peer, or from `ORIGIN`."""
+    """Fetch of one chunk from a peer, or from `ORIGIN`."""
 
     index: int
     source: str
 
 
 class Schedule:
-    """What one instance fetches next.
+    """Decide which chunks one instance fetches next, and from which source.
 
     Parameters
     ----------
     seeders : Seeders
-        Ranks of this instance.
+        Ranks of this instance as a seeder.
     digests : iterable of str
-        Chunks of the version.
+        Digests of the version's chunks.
     distribution : {'time_to_replicas', 'origin_bytes'}
-        One seeder for each failure domain (at most four in all), or one in all.
-    patience_ms : float
-        Wait before the next rank asks the origin, in milliseconds.
+        ``time_to_replicas`` uses one seeder per failure domain, at most four in
+        total; ``origin_bytes`` uses a single seeder.
+    rank_delay_ms : float
+        Delay per rank before an instance requests a chunk from the origin, in
+        milliseconds.
     rng : random.Random
         Breaks ties.
     now_ms : float
-        Start.
+        Start time, in milliseconds.
     """
 
     def __init__(
@@ -95,18 +102,18 @@
         self.backoff_until_ms: dict[str, float] = {}
         self.banned_peers: set[str] = set()
         self.origin_backoff_until_ms = 0.0
-        self.latency_ms = 0.0
+        self.smoothed_latency_ms = 0.0
         self.origin_queue: list[tuple[int, int]] = []
         self.domain_queue: list[int] = []
         self.set_members(seeders.members.values())
 
     @property
     def complete(self) -> bool:
-        """Whether every chunk is here."""
+        """Whether every chunk is held locally."""
         return not self.missing
 
     def set_members(self, members: Iterable[Peer]) -> None:
-        """Recompute this instance's rank for each missing chunk."""
+        """Replace the members, and recompute the rank for each missing chunk."""
         self.seeders.set_members(members)
         self.peer_domains = {
             peer.node_id: peer.failure_domain for peer in self.seeders.members.values()
@@ -124,19 +131,19 @@
             self.rng.shuffle(self.domain_queue)
 
     def rank(self, index: int) -> int:
-        """Return this instance's rank for a chunk."""
+        """Return this instance's rank as a seeder of a chunk."""
         return self.seeders.rank(self.digests[index])
 
-    # -- what neighbours hold ----------------------------------------------
+    # -- chunks held by neighbours ----------------------------------------
 
     def set_have(self, node_id: str, indexes: Iterable[int], now_ms: float) -> None:
-        """Replace what a neighbour holds."""
+        """Replace the set of chunks that a neighbour holds."""
         self.remove_peer_chunks(node_id, now_ms)
         self.held_by_peer[node_id] = set()
         self.add_have(node_id, indexes, now_ms)
 
     def add_have(self, node_id: str, indexes: Iterable[int], now_ms: float) -> None:
-        """Note chunks that a neighbour holds besides."""
+        """Add chunks to those that a neighbour holds."""
         held = self.held_by_peer.setdefault(node_id, set())
         for index in indexes:
             if index < len(self.digests) and index not in held:
@@ -146,12 +153,15 @@
                 self.set_holder_count(index, self.holder_counts[index] + 1)
 
     def remove_peer_chunks(self, node_id: str, now_ms: float) -> None:
-        """Forget what a neighbour holds."""
+        """Remove all chunks of a neighbour from the holder counts."""
         for index in self.held_by_peer.pop(node_id, ()):
             self.remove_holder(index, now_ms)
 
     def remove_holder(self, index: int, now_ms: float) -> None:
-        """Count a holder out; after the last one the origin's turns begin."""
+        """Remove one holder of a chunk.
+
+        When the last holder is gone, the chunk is queued for the origin again.
+        """
         self.set_holder_count(index, self.holder_counts[index] - 1)
         if not self.holder_counts[index]:
             self.unheld_since_ms[index] = now_ms
@@ -159,31 +169,31 @@
                 heapq.heappush(self.origin_queue, (self.rank(index), index))
 
     def drop_peer(self, node_id: str, now_ms: float) -> None:
-        """Forget a neighbour that is gone; its fetches are open again."""
+        """Remove a disconnected neighbour and reopen its fetches."""
         self.remove_peer_chunks(node_id, now_ms)
-        flights = [i for i, sources in self.in_flight.items() if node_id in sources]
-        for index in flights:
+        indexes = [i for i, sources in self.in_flight.items() if node_id in sources]
+        for index in indexes:
             self.record_end(Fetch(index, node_id))
 
     def set_holder_count(self, index: int, count: int) -> None:
-        """Count the neighbours that hold a chunk, and move it to its bucket."""
-        waiting = index in self.missing and index not in self.in_flight
-        if waiting:
+        """Set a chunk's holder count and move the chunk to the matching bucket."""
+        is_unrequested = index in self.missing and index not in self.in_flight
+        if is_unrequested:
             self.rarity_bucket(self.holder_counts[index]).discard(index)
         self.holder_counts[index] = count
-        if waiting:
+        if is_unrequested:
             self.rarity_bucket(count).add(index)
 
     def rarity_bucket(self, count: int) -> RandomSet:
-        """Return the waiting chunks that `count` neighbours hold."""
+        """Return the unrequested chunks that `count` neighbours hold."""
         while len(self.rarity_buckets) <= count:
             self.rarity_buckets.append(RandomSet())
         return self.rarity_buckets[count]
 
-    # -- what became of fetches --------------------------------------------
+    # -- progress of fetches ----------------------------------------------
 
     def record_start(self, fetch: Fetch, now_ms: float) -> Fetch:
-        """Note a fetch as in flight."""
+        """Record a fetch as in flight, and return it."""
         if fetch.index not in self.in_flight:
             self.rarity_bucket(self.holder_counts[fetch.index]).discard(fetch.index)
         self.in_flight.setdefault(fetch.index, {})[fetch.source] = now_ms
@@ -191,11 +201,17 @@
         return fetch
 
     def record_end(self, fetch: Fetch) -> float | None:
-        """Take a fetch out of flight; return when it began."""
+        """Remove a fetch from those in flight.
+
+        Returns
+        -------
+        float or None
+            Start time of the fetch in milliseconds; None if it was not in flight.
+        """
         sources = self.in_flight.get(fetch.index, {})
         if fetch.source not in sources:
             return None
-        begun_ms = sources.pop(fetch.source)
+        started_ms = sources.pop(fetch.source)
         self.fetch_counts[fetch.source] -= 1
         if not sources:
             del self.in_flight[fetch.index]
@@ -205,15 +221,15 @@
                     heapq.heappush(
                         self.origin_queue, (self.rank(fetch.index), fetch.index)
                     )
-        return begun_ms
+        return started_ms
 
     def record_chunk(self, index: int, now_ms: float) -> list[Fetch]:
-        """Note a chunk that is here, from wherever.
+        """Record a chunk as held locally, whichever source it came from.
 
         Returns
         -------
         list of Fetch
-            Other fetches of the same chunk, to cancel.
+            Remaining fetches of the same chunk, to be cancelled.
         """
         if index not in self.missing:
             return []
@@ -227,12 +243,14 @@
         return others
 
     def record_success(self, fetch: Fetch, now_ms: float) -> list[Fetch]:
-        """Note a chunk that a fetch brought; return fetches to cancel."""
-        begun_ms = self.record_end(fetch)
-        if begun_ms is not None:
-            latency_ms = now_ms - begun_ms
-            self.latency_ms = self.latency_ms or latency_ms
-            self.latency_ms += LATENCY_EWMA_WEIGHT * (latency_ms - self.latency_ms)
+        """Record a completed fetch; return the fetches to cancel."""
+        started_ms = self.record_end(fetch)
+        if started_ms is not None:
+            latency_ms = now_ms - started_ms
+            self.smoothed_latency_ms = self.smoothed_latency_ms or latency_ms
+            self.smoothed_latency_ms += LATENCY_EWMA_WEIGHT * (
+                latency_ms - self.smoothed_latency_ms
+            )
         return self.record_chunk(fetch.index, now_ms)
 
     def record_failure(
@@ -242,7 +260,10 @@
         corrupted: bool = False,
         retry_after_ms: float = 0.0,
     ) -> None:
-        """Note a failed fetch; who sent bad bytes is not asked again."""
+        """Record a failed fetch.
+
+        A peer that sent corrupted bytes is not asked again.
+        """
         self.record_end(fetch)
         if fetch.source == ORIGIN:
             self.origin_backoff_until_ms = max(
@@ -255,12 +276,13 @@
         if corrupted:
             self.banned_peers.add(fetch.source)
         if corrupted or not retry_after_ms:
-            # What it holds no longer counts, or its chunks would never be asked
-            # of the origin; it is asked again what it holds after a while.
+            # The peer's chunks no longer count as held; otherwise they would never
+            # be requested from the origin. The peer's holdings are queried again
+            # later.
             self.drop_peer(fetch.source, now_ms)
 
     def record_not_held(self, fetch: Fetch, now_ms: float) -> None:
-        """Note that a peer does not hold a chunk after all."""
+        """Record that a peer does not hold a chunk that it had announced."""
         self.record_end(fetch)
         held = self.held_by_peer.get(fetch.source, set())
         if fetch.index in held:
@@ -269,23 +291,25 @@
 
     def expired_fetches(self, now_ms: float) -> list[Fetch]:
         """Return fetches whose deadline has passed."""
-        limit_ms = max(MIN_DEADLINE_MS, LATENCY_DEADLINE_FACTOR * self.latency_ms)
+        peer_deadline_ms = max(
+            MIN_DEADLINE_MS, LATENCY_DEADLINE_FACTOR * self.smoothed_latency_ms
+        )
         return [
             Fetch(index, source)
             for index, sources in self.in_flight.items()
-            for source, begun_ms in sources.items()
-            if now_ms - begun_ms
-            > (ORIGIN_DEADLINE_MS if source == ORIGIN else limit_ms)
+            for source, started_ms in sources.items()
+            if now_ms - started_ms
+            > (ORIGIN_DEADLINE_MS if source == ORIGIN else peer_deadline_ms)
         ]
 
-    # -- what to fetch next ------------------------------------------------
+    # -- choice of the next fetches ---------------------------------------
 
     def next_fetches(self, now_ms: float, origin: bool = True) -> list[Fetch]:
-        """Return fetches to start now.
+        """Return the fetches to start now.
 
-        The origin's turns come first: while it still has chunks that nobody
-        holds, an idle origin link is time that all replicas lose. Then the
-        rarest chunk that a neighbour holds, so that no chunk becomes scarce.
+        Chunks due from the origin come first: while the origin has chunks that no
+        instance holds, idle time on its link delays all replicas. Next come the
+        rarest chunks that neighbours hold, so that no chunk becomes scarce.
         """
         fetches: list[Fetch] = []
         while origin and (index := self.next_origin_chunk(now_ms)) is not None:
@@ -298,59 +322,65 @@
         return fetches
 
     def fill_window(self, fetches: list[Fetch], now_ms: float) -> None:
-        """Launch fetches from neighbours up to the window."""
-        tries = MAX_DRAWS
-        flying = sum(self.fetch_counts.values()) - self.fetch_counts.get(ORIGIN, 0)
+        """Start fetches from neighbours until the window is full."""
+        draws_left = MAX_DRAWS
+        peer_fetches = sum(self.fetch_counts.values()) - self.fetch_counts.get(
+            ORIGIN, 0
+        )
         for bucket in self.rarity_buckets[1:]:
-            refused = 0
-            while len(bucket) > refused and flying < MAX_PEER_FETCHES and tries:
-                tries -= 1
-                # Refused ones are moved to the front, out of the draw.
-                index = bucket.items[self.rng.randrange(refused, len(bucket))]
+            skipped = 0
+            while (
+                len(bucket) > skipped and peer_fetches < MAX_PEER_FETCHES and draws_left
+            ):
+                draws_left -= 1
+                # Chunks without a free holder move to the front of the bucket,
+                # which excludes them from further draws.
+                index = bucket.items[self.rng.randrange(skipped, len(bucket))]
                 source = self.choose_holder(index, now_ms)
                 if source is None:
-                    bucket.move(index, refused)
-                    refused += 1
+                    bucket.move(index, skipped)
+                    skipped += 1
                     continue
                 fetches.append(self.record_start(Fetch(index, source), now_ms))
-                flying += 1
+                peer_fetches += 1
 
     def choose_holder(self, index: int, now_ms: float) -> str | None:
-        """Choose the neighbour to get a chunk from, or None to wait.
+        """Choose the neighbour to fetch a chunk from, or None to wait.
 
-        Least asked first, for its queue is shortest; then our own failure
-        domain, which keeps bytes off the links between domains.
+        Prefers the neighbour with the fewest of our requests, whose queue is
+        shortest, and then one in our own failure domain, which keeps traffic off the
+        links between domains.
         """
-        mine = self.me.failure_domain
-        asked = self.in_flight.get(index, ())
-        free = [
+        own_domain = self.me.failure_domain
+        current_sources = self.in_flight.get(index, ())
+        candidates = [
             (
                 self.fetch_counts.get(n, 0),
-                self.peer_domains.get(n) != mine,
+                self.peer_domains.get(n) != own_domain,
                 self.rng.random(),
                 n,
             )
             for n, held in self.held_by_peer.items()
             if index in held
-            and n not in asked
+            and n not in current_sources
             and n not in self.banned_peers
             and self.fetch_counts.get(n, 0) < MAX_FETCHES_PER_PEER
             and self.backoff_until_ms.get(n, 0.0) <= now_ms
         ]
-        return min(free)[3] if free else None
+        return min(candidates)[3] if candidates else None
 
     def can_ask_origin(self, now_ms: float) -> bool:
-        """Tell whether this instance may send the origin another request."""
+        """Return whether this instance may send the origin another request."""
         return self.fetch_counts.get(ORIGIN, 0) < MAX_ORIGIN_FETCHES and (
             now_ms >= self.origin_backoff_until_ms
         )
 
     def next_origin_chunk(self, now_ms: float) -> int | None:
-        """Return a chunk that no neighbour holds and whose turn is ours.
+        """Return a chunk that no neighbour holds and that is due from the origin.
 
-        Rank 0 asks at once, rank k after k patience periods in which no
-        neighbour had the chunk and no chunk came to light: while new ones do,
-        the earlier ranks are at work, and asking too would draw the same bytes
+        Rank 0 asks at once. Rank k asks after k rank delays in which no neighbour
+        held the chunk and no new chunk appeared. New chunks show that the earlier
+        ranks are making progress, and a further request would draw the same bytes
         from the origin again.
         """
         while self.origin_queue and self.can_ask_origin(now_ms):
@@ -358,23 +388,23 @@
             stale = index not in self.missing or index in self.in_flight
             if stale or self.holder_counts[index] or rank != self.rank(index):
                 heapq.heappop(self.origin_queue)
-            elif self.is_turn_at_origin(index, now_ms):
+            elif self.is_due_from_origin(index, now_ms):
                 heapq.heappop(self.origin_queue)
                 return index
             else:
                 return None
         return None
 
-    def is_turn_at_origin(self, index: int, now_ms: float) -> bool:
-        """Tell whether this instance's turn at the origin has come."""
+    def is_due_from_origin(self, index: int, now_ms: float) -> bool:
+        """Return whether the rank delay for a chunk has passed."""
         wait_ms = self.rank(index) * self.rank_delay_ms
-        alone_ms = self.unheld_since_ms[index]
-        if now_ms - max(alone_ms, self.last_new_chunk_ms) >= wait_ms:
+        unheld_ms = self.unheld_since_ms[index]
+        if now_ms - max(unheld_ms, self.last_new_chunk_ms) >= wait_ms:
             return True
-        return now_ms - alone_ms >= wait_ms * MAX_RANK_DELAY_FACTOR
+        return now_ms - unheld_ms >= wait_ms * MAX_RANK_DELAY_FACTOR
 
     def next_domain_chunk(self, now_ms: float) -> int | None:
-        """Return a chunk to bring into our failure domain from the origin."""
+        """Return a chunk to fetch from the origin on behalf of our failure domain."""
         while self.domain_queue and self.can_ask_origin(now_ms):
             index = self.domain_queue.pop()
             if index in self.missing and index not in self.in_flight:
@@ -383,25 +413,25 @@
         return None
 
     def is_held_in_domain(self, index: int) -> bool:
-        """Tell whether a neighbour of our failure domain holds a chunk."""
-        mine = self.me.failure_domain
-        near = (
+        """Return whether a neighbour in our failure domain holds a chunk."""
+        own_domain = self.me.failure_domain
+        domain_holdings = (
             held
             for n, held in self.held_by_peer.items()
-            if self.peer_domains.get(n) == mine
+            if self.peer_domains.get(n) == own_domain
         )
-        return any(index in held for held in near)
+        return any(index in held for held in domain_holdings)
 
     def end_game(self, fetches: list[Fetch], now_ms: float) -> None:
-        """Ask a second source for chunks that are late, when nothing waits."""
-        late_ms = 2 * self.latency_ms
-        room = MAX_PEER_FETCHES - len(fetches)
+        """Request late chunks from a second source when no others are left to start."""
+        late_after_ms = 2 * self.smoothed_latency_ms
+        free_fetches = MAX_PEER_FETCHES - len(fetches)
         for index, sources in tuple(self.in_flight.items()):
-            if room <= 0:
+            if free_fetches <= 0:
                 return
             oldest_ms = min(sources.values())
-            if len(sources) < END_GAME_SOURCES and now_ms - oldest_ms > late_ms:
+            if len(sources) < END_GAME_SOURCES and now_ms - oldest_ms > late_after_ms:
                 source = self.choose_holder(index, now_ms)
                 if source is not None:
                     fetches.append(self.record_start(Fetch(index, source), now_ms))
-                    room -= 1
+                    free_fetches -= 1
--- a/src/wisteriapulley/weights/source.py
+++ b/src/wisteriapulley/weights/source.py
@@ -1,4 +1,4 @@
-"""Origin and weight store: bytes by HTTP range."""
+"""Client of the origin and the weight store, using HTTP range requests."""
 
 import time
 
@@ -8,21 +8,24 @@
 from wisteriapulley.weights.manifest import Manifest, Span, chunk_digest
 from wisteriapulley.weights.pace import LinkBudget
 
-# A source that sends nothing for this long has stalled.
+# A source that sends nothing for this long counts as unresponsive.
 SOCKET_TIMEOUT_S = 5.0
 PARTIAL_CONTENT = 206
 RATE_LIMIT_STATUSES = (429, 503)
 UNREACHABLE_RETRY_MS = 1000
-# Longest that a source may put us off: it may have come back long before.
+# Upper bound for Retry-After: a source may recover long before the time that it asked
+# for.
 MAX_RETRY_AFTER_S = 60
-# Bytes that mismatch once were damaged on the way, twice at the source.
+# Bytes that mismatch once were probably corrupted in transit; twice, they have changed
+# at the source.
 MISMATCHES_UNTIL_CHANGED = 2
-# A changed source stays changed until an operator acts: don't draw on its link.
+# A changed source stays changed until an operator repairs it; more requests would only
+# use up its link.
 CHANGED_SOURCE_RETRY_MS = 30_000
 
 
 class HttpSource:
-    """One source of weights.
+    """HTTP client of one source of weights.
 
     Serves ``/<version>/manifest.json`` and ``/<version>/files/<path>`` with
     ``Range``.
@@ -30,13 +33,13 @@
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Shared client.
+        Shared client session.
     base_url : str
-        Where the source answers.
+        Base URL of the source.
     budget : LinkBudget
-        This instance's link.
-    share : LinkBudget
-        What this instance may take of the source's link.
+        Bandwidth budget of this instance's link.
+    source_budget : LinkBudget
+        Fraction of the source's bandwidth that this instance may use.
     """
 
     def __init__(
@@ -59,28 +62,28 @@
 
     @property
     def in_cooldown(self) -> bool:
-        """Whether it told us to come back later."""
+        """Whether the source has asked us to retry later."""
         return time.monotonic() < self.cooldown_until_s
 
     async def manifest(self, version: str) -> Manifest:
-        """Fetch and check a manifest.
+        """Fetch and verify a manifest.
 
         Raises
         ------
         WeightsError
-            The source refused, or the bytes are not of `version`.
+            The source failed, or the bytes don't belong to `version`.
         """
         url = f"{self.base_url}/{version}/manifest.json"
         return Manifest.from_bytes(await self.get(url, {}, 200), version)
 
     async def chunk(self, version: str, span: Span) -> bytes:
-        """Fetch and check a chunk.
+        """Fetch and verify a chunk.
 
         Raises
         ------
         WeightsError
-            SOURCE_UNAVAILABLE; CHUNK_CORRUPTED when other bytes came once, and
-            SOURCE_CHANGED when they came again.
+            SOURCE_UNAVAILABLE if the source failed; CHUNK_CORRUPTED if the bytes
+            mismatch for the first time, SOURCE_CHANGED if they mismatch again.
         """
         url = f"{self.base_url}/{version}/files/{span.path}"
         headers = {"Range": f"bytes={span.offset}-{span.end - 1}"}
@@ -93,12 +96,18 @@
         changed = count >= MISMATCHES_UNTIL_CHANGED
         raise WeightsError(
             ResultCode.SOURCE_CHANGED if changed else ResultCode.CHUNK_CORRUPTED,
-            f"{url}: bytes at {span.offset} are not the manifest's",
+            f"{url}: bytes at offset {span.offset} do not match the manifest",
             CHANGED_SOURCE_RETRY_MS if changed else 0,
         )
 
     async def get(self, url: str, headers: dict[str, str], status: int) -> bytes:
-        """Fetch a body."""
+        """Fetch a response body.
+
+        Raises
+        ------
+        WeightsError
+            SOURCE_UNAVAILABLE: the status is not `status`, or the request failed.
+        """
         try:
             async with self.session.get(
                 url, headers=headers, timeout=self.timeout
@@ -112,7 +121,7 @@
             ) from error
 
     async def read_body(self, response: aiohttp.ClientResponse) -> bytes:
-        """Read a body no faster than the link and our share allow."""
+        """Read a body, paced by the budgets of the source and of our link."""
         parts = []
         async for part in response.content.iter_chunked(self.budget.part_bytes):
             self.bytes_received += len(part)
@@ -124,13 +133,18 @@
     def status_error(
         self, url: str, status: int, response: aiohttp.ClientResponse
     ) -> WeightsError:
-        """Make the error of a refusal, and rest when the source asks for it."""
-        text = response.headers.get("Retry-After", "")
-        wait_s = min(int(text), MAX_RETRY_AFTER_S) if text.isdigit() else 1
+        """Return the error for an unexpected status.
+
+        Starts the cool-down if the source limits its rate.
+        """
+        retry_after = response.headers.get("Retry-After", "")
+        wait_s = (
+            min(int(retry_after), MAX_RETRY_AFTER_S) if retry_after.isdigit() else 1
+        )
         if response.status in RATE_LIMIT_STATUSES:
             self.cooldown_until_s = time.monotonic() + wait_s
         return WeightsError(
             ResultCode.SOURCE_UNAVAILABLE,
-            f"{url}: expected {status}, got {response.status}",
+            f"{url}: expected status {status}, got {response.status}",
             wait_s * 1000,
         )
--- a/src/wisteriapulley/weights/swarm.py
+++ b/src/wisteriapulley/weights/swarm.py
@@ -1,4 +1,8 @@
-"""Chunks of this instance, its neighbours, and the version being copied."""
+"""Peer-to-peer distribution of weights at one instance.
+
+Tracks the chunks held locally, the links to neighbours and the version that is
+being downloaded.
+"""
 
 import asyncio
 import logging
@@ -30,19 +34,19 @@
 
 
 class Swarm:
-    """What this instance holds, and from whom it gets the rest.
+    """Hold the chunks of this instance and fetch missing ones from peers or sources.
 
     Parameters
     ----------
     me : Peer
         This instance.
     store : ChunkStore
-        Verified chunks.
+        Stores verified chunks.
     sources : list of HttpSource
-        Origin first, then the weight store.
+        The origin first, then the weight store.
     budget : LinkBudget
-        This instance's link.
-    patience_ms : float
+        Bandwidth budget of this instance's link.
+    rank_delay_ms : float
         See `Schedule`.
     """
 
@@ -79,7 +83,7 @@
     # -- neighbours ------------------------------------------------------
 
     def add_link(self, link: Link) -> None:
-        """Take a neighbour's link in, and tell what is here."""
+        """Add a neighbour's link and announce which chunks are held here."""
         self.links.setdefault(link.peer_id, []).append(link)
         self.disconnected_peers.discard(link.peer_id)
         for version in self.manifests:
@@ -90,7 +94,7 @@
             link.post(messages.HaveQuery(self.desired_version))
 
     def drop_link(self, link: Link) -> None:
-        """Forget a neighbour whose last link closed."""
+        """Remove a closed link; with its last link, remove the neighbour."""
         links = self.links.get(link.peer_id, [])
         if link in links:
             links.remove(link)
@@ -105,7 +109,7 @@
             self.download.wake.set()
 
     def open_link(self, node_id: str) -> Link | None:
-        """Return an open link to a neighbour, the newest first."""
+        """Return the newest open link to a neighbour, or None."""
         links = self.links.get(node_id, ())
         return next((ln for ln in reversed(links) if not ln.closed.is_set()), None)
 
@@ -115,20 +119,20 @@
         return [link for link in found if link is not None]
 
     def expected_link_count(self) -> int:
-        """Return how many neighbours should have answered by now."""
+        """Return how many neighbours are expected to answer."""
         return min(self.neighbour_count, len(self.seeders.members))
 
     def set_members(self, members: list[Peer]) -> None:
-        """Note who takes part."""
+        """Replace the members that take part in the distribution."""
         if self.download is not None:
             self.download.schedule.set_members(members)
         else:
             self.seeders.set_members(members)
 
-    # -- telling what is here ----------------------------------------------
+    # -- announcing held chunks --------------------------------------------
 
     def have_message(self, version: str) -> messages.Have:
-        """Say which chunks of a version are here."""
+        """Return the message that announces which chunks of a version are held."""
         manifest = self.manifests.get(version)
         if manifest is None:
             return messages.Have(version)
@@ -139,51 +143,57 @@
         )
 
     def receive_have(self, link: Link, message: messages.Have) -> None:
-        """Note what a neighbour holds."""
+        """Record which chunks a neighbour holds."""
         if message.version != self.desired_version:
             return
         if message.chunks:
             self.manifest_holders.add(link.peer_id)
         if message.complete:
             self.complete_versions[link.peer_id] = message.version
-        copy = self.download
-        if copy is None or copy.version != message.version:
+        download = self.download
+        if download is None or download.version != message.version:
             return
         now_ms = time.monotonic() * 1000
         if message.added:
-            copy.schedule.add_have(link.peer_id, message.added, now_ms)
+            download.schedule.add_have(link.peer_id, message.added, now_ms)
         else:
-            indexes = unpack_bitmap(message.bitmap, len(copy.manifest.spans))
-            copy.schedule.set_have(link.peer_id, indexes, now_ms)
-        copy.wake.set()
+            indexes = unpack_bitmap(message.bitmap, len(download.manifest.spans))
+            download.schedule.set_have(link.peer_id, indexes, now_ms)
+        download.wake.set()
 
     def receive_have_query(self, link: Link, message: messages.HaveQuery) -> None:
-        """Tell a neighbour what is here."""
+        """Reply to a neighbour with the chunks held here."""
         link.post(self.have_message(message.version))
 
     def record_chunk(self, version: str, index: int) -> None:
-        """Note a chunk that the neighbours shall hear of soon."""
+        """Queue a new chunk for the next announcement to the neighbours."""
         self.unpublished_chunks.append(index)
         if self.publish_timer is None:
             loop = asyncio.get_running_loop()
             self.publish_timer = loop.call_later(PUBLISH_INTERVAL_S, self.publish_have)
 
-    def publish_have(self, force: bool = False) -> None:
-        """Tell the neighbours of new chunks; those that have all need not know."""
+    def publish_have(self, announce_all: bool = False) -> None:
+        """Announce new chunks to the neighbours that do not hold the whole version.
+
+        Parameters
+        ----------
+        announce_all : bool
+            Announce all held chunks, even if none is new.
+        """
         if self.publish_timer is not None:
             self.publish_timer.cancel()
             self.publish_timer = None
-        news, self.unpublished_chunks = tuple(self.unpublished_chunks), []
-        copy = self.download
-        if copy is None or not (news or force):
+        new_chunks, self.unpublished_chunks = tuple(self.unpublished_chunks), []
+        download = self.download
+        if download is None or not (new_chunks or announce_all):
             return
-        count = len(copy.manifest.spans)
-        done = copy.schedule.complete
-        message = messages.Have(copy.version, b"", done, count, news)
-        if force:
-            message = self.have_message(copy.version)
+        count = len(download.manifest.spans)
+        done = download.schedule.complete
+        message = messages.Have(download.version, b"", done, count, new_chunks)
+        if announce_all:
+            message = self.have_message(download.version)
         for link in self.open_links():
-            if self.complete_versions.get(link.peer_id) != copy.version:
+            if self.complete_versions.get(link.peer_id) != download.version:
                 link.post(message)
 
     # -- serving chunks ----------------------------------------------------
@@ -199,31 +209,34 @@
         data = manifest.to_bytes()
         await self.uploader.send_parts(link, frame, message.digest, data)
 
-    async def receive_parts(self, call: Call, length: int, stall_s: float) -> bytes:
-        """Put a chunk together from its parts, within the link's budget.
+    async def receive_parts(self, call: Call, length: int, timeout_s: float) -> bytes:
+        """Assemble a chunk from its parts, within the link's budget.
 
         Parameters
         ----------
         call : Call
-            The query.
+            The pending query.
         length : int
-            Bytes expected; 0 to believe the first part.
-        stall_s : float
+            Expected size in bytes; 0 to use the size that the first part states.
+        timeout_s : float
             Longest wait for the next part, in seconds.
 
         Raises
         ------
         WireError
-            No part came in time, or one does not fit.
+            No part arrived in time, or a part does not continue the chunk.
         """
         parts: list[bytes] = []
         received = 0
         while not parts or received < length:
-            frame = await call.reply(stall_s)
+            frame = await call.reply(timeout_s)
             raise_failure(frame)
             length = length or frame.message.total
             if frame.message.offset != received or received + len(frame.body) > length:
-                raise WireError(ResultCode.CHUNK_CORRUPTED, "a part does not fit")
+                raise WireError(
+                    ResultCode.CHUNK_CORRUPTED,
+                    "chunk part has an unexpected offset or length",
+                )
             await self.budget.acquire(len(frame.body))
             parts.append(frame.body)
             received += len(frame.body)
@@ -231,16 +244,16 @@
         return b"".join(parts)
 
     def record_corrupted(self, source: str) -> None:
-        """Count bad bytes of a sender."""
+        """Count a corrupted chunk against its sender."""
         self.corrupted_by_source[source] = self.corrupted_by_source.get(source, 0) + 1
 
     async def fetch_from_sources(self, version: str, span: Span) -> bytes:
-        """Fetch a chunk from the origin, or else from the store.
+        """Fetch a chunk from the origin, or from the weight store if that fails.
 
         Raises
         ------
         WeightsError
-            Of the first source that failed.
+            The error of the first source that failed.
         """
         errors = []
         for source in self.sources:
@@ -254,15 +267,15 @@
                     self.record_corrupted(ORIGIN)
         raise errors[0] if errors else no_source_error()
 
-    # -- copying -----------------------------------------------------------
+    # -- downloading a version ---------------------------------------------
 
     async def fetch_version(self, version: str, distribution: str) -> Manifest:
-        """Copy a version whole.
+        """Download all chunks of a version.
 
         Returns
         -------
         Manifest
-            Every chunk of it is in the store, verified.
+            The version's manifest; all of its chunks are verified and stored.
         """
         self.desired_version = version
         self.manifest_holders.clear()
@@ -272,19 +285,19 @@
         if manifest is None:
             manifest = await self.find_manifest(version)
         self.manifests[version] = manifest
-        # What a superseded copy left is kept as far as this version shares it.
+        # Of a superseded download, only the chunks that this version shares are kept.
         self.keep_only({version, self.serving_version})
         limit = self.store.limit_bytes
         if limit and manifest.size > limit:
             raise self.store.full_error(manifest.size)
-        copy = self.download = ChunkDownload(self, manifest, distribution)
-        await copy.run()
+        download = self.download = ChunkDownload(self, manifest, distribution)
+        await download.run()
         return manifest
 
     async def find_manifest(self, version: str) -> Manifest:
-        """Get the manifest from a neighbour that has it, or in turn a source."""
-        begun_s = time.monotonic()
-        asked_s = 0.0
+        """Fetch the manifest from a neighbour, or after the rank delay a source."""
+        started_s = time.monotonic()
+        source_asked_s = 0.0
         for link in self.open_links():
             link.post(messages.HaveQuery(version))
         while True:
@@ -292,16 +305,19 @@
             if manifest is not None:
                 return manifest
             now_s = time.monotonic()
-            turn = self.seeders.rank(version) * self.rank_delay_ms / 1000
-            if now_s - begun_s >= turn and now_s - asked_s > SOURCE_RETRY_S:
-                asked_s = now_s
+            rank_delay_s = self.seeders.rank(version) * self.rank_delay_ms / 1000
+            if (
+                now_s - started_s >= rank_delay_s
+                and now_s - source_asked_s > SOURCE_RETRY_S
+            ):
+                source_asked_s = now_s
                 manifest = await self.fetch_manifest_from_sources(version)
                 if manifest is not None:
                     return manifest
             await asyncio.sleep(MANIFEST_RETRY_S / 5)
 
     async def fetch_manifest_from_neighbours(self, version: str) -> Manifest | None:
-        """Ask neighbours that have the manifest."""
+        """Fetch the manifest from a neighbour that has announced it, if any."""
         for node_id in tuple(self.manifest_holders):
             link = self.open_link(node_id)
             if link is None:
@@ -312,7 +328,7 @@
                 data = await self.receive_parts(call, 0, MANIFEST_TIMEOUT_S)
                 return Manifest.from_bytes(data, version)
             except Error as error:
-                log.info("manifest from %s: %s", node_id, error)
+                log.info("could not fetch the manifest from %s: %s", node_id, error)
                 self.manifest_holders.discard(node_id)
             finally:
                 if call is not None:
@@ -320,17 +336,19 @@
         return None
 
     async def fetch_manifest_from_sources(self, version: str) -> Manifest | None:
-        """Ask the origin, then the store."""
+        """Fetch the manifest from the origin, or else from the weight store."""
         for source in self.sources:
             try:
                 return await source.manifest(version)
             except WeightsError as error:
-                log.warning("manifest %s: %s", version, error)
+                log.warning(
+                    "could not fetch the manifest of version %s: %s", version, error
+                )
                 self.manifest_error = self.manifest_error or error
         return None
 
     def keep_only(self, versions: set[str]) -> None:
-        """Forget all versions but these, so that memory does not grow."""
+        """Drop all versions but these, so that memory use stays bounded."""
         self.manifests = {
             version: manifest
             for version, manifest in self.manifests.items()
@@ -339,11 +357,13 @@
         self.store.keep_only(self.manifests.values())
 
     def error_text(self) -> str:
-        """Return why the copy does not go on, or an empty text."""
-        fault = self.download.last_error if self.download is not None else None
-        return str(fault or self.manifest_error or "")
+        """Return the error that blocks the download, or an empty string."""
+        error = self.download.last_error if self.download is not None else None
+        return str(error or self.manifest_error or "")
 
 
 def no_source_error() -> WeightsError:
-    """Make the error of an instance without sources."""
-    return WeightsError(ResultCode.SOURCE_UNAVAILABLE, "no source answers now", 1000)
+    """Return the error for the case that no source can be asked."""
+    return WeightsError(
+        ResultCode.SOURCE_UNAVAILABLE, "no source of weights can be asked now", 1000
+    )
--- a/src/wisteriapulley/weights/upload.py
+++ b/src/wisteriapulley/weights/upload.py
@@ -1,4 +1,4 @@
-"""Sends chunks to neighbours, in parts and within the link's budget."""
+"""Upload of chunks to neighbours, in parts and within the link's budget."""
 
 import asyncio
 import logging
@@ -10,25 +10,25 @@
 
 log = logging.getLogger(__name__)
 
-# Two at once keep the link busy when one neighbour reads slowly; with more, all
-# chunks would come late together instead of one after the other.
+# Two uploads keep the link busy when one neighbour reads slowly; with more, all chunks
+# would arrive late together instead of one after the other.
 MAX_PARALLEL_UPLOADS = 2
-# A neighbour that takes nothing for this long must not hold a place.
+# A neighbour that reads nothing for this long must not occupy an upload slot.
 SEND_TIMEOUT_S = 5.0
-# Chunks queued here by neighbours; past it they are told to ask another.
+# Limit of queued uploads; beyond it, neighbours are told to ask another instance.
 MAX_QUEUED_CHUNKS = 256
 OVERLOAD_RETRY_MS = 200
 
 
 class Uploader:
-    """Sends verified chunks, first come first served.
+    """Send verified chunks, first come, first served.
 
     Parameters
     ----------
     store : ChunkStore
-        Verified chunks.
+        Stores verified chunks.
     budget : LinkBudget
-        This instance's link.
+        Bandwidth budget of this instance's link.
     """
 
     def __init__(self, store: ChunkStore, budget: LinkBudget):
@@ -41,18 +41,22 @@
     async def send(
         self, link: Link, message: messages.ChunkQuery, frame: Frame
     ) -> None:
-        """Answer a query; cancelled when the link closes or the peer asks.
+        """Answer a chunk query; cancelled when the link closes or the peer cancels.
 
         Raises
         ------
         WeightsError
-            The chunk is not here, or too many wait.
+            The chunk is not stored here, or too many uploads are queued.
         """
         if message.digest not in self.store:
-            raise WeightsError(ResultCode.SOURCE_UNAVAILABLE, "chunk is not here")
+            raise WeightsError(
+                ResultCode.SOURCE_UNAVAILABLE, "chunk is not stored here"
+            )
         if len(self.tasks) >= MAX_QUEUED_CHUNKS:
             raise WeightsError(
-                ResultCode.OVERLOADED, "too many chunks wait here", OVERLOAD_RETRY_MS
+                ResultCode.OVERLOADED,
+                "too many chunk uploads are queued here",
+                OVERLOAD_RETRY_MS,
             )
         key = (link.peer_id, frame.id)
         self.tasks[key] = asyncio.current_task()
@@ -61,7 +65,7 @@
                 data = self.store.get(message.digest)
                 if data is None:
                     raise WeightsError(
-                        ResultCode.SOURCE_UNAVAILABLE, "chunk is not here"
+                        ResultCode.SOURCE_UNAVAILABLE, "chunk is not stored here"
                     )
                 await self.send_parts(link, frame, message.digest, data)
         finally:
@@ -70,10 +74,10 @@
     async def send_parts(
         self, link: Link, frame: Frame, digest: str, data: bytes
     ) -> None:
-        """Send a chunk part by part, so that other frames pass in between."""
-        step = self.budget.part_bytes
-        for offset in range(0, len(data), step):
-            part = data[offset : offset + step]
+        """Send a chunk in parts, so that other frames can be sent in between."""
+        part_bytes = self.budget.part_bytes
+        for offset in range(0, len(data), part_bytes):
+            part = data[offset : offset + part_bytes]
             await self.budget.acquire(len(part))
             message = messages.Chunk(digest, offset, len(data))
             link.post(message, reply_to=frame.id, body=part)
@@ -82,11 +86,13 @@
                 async with asyncio.timeout(SEND_TIMEOUT_S):
                     await link.drain()
             except TimeoutError:
-                link.close(WireError(ResultCode.LINK_SILENT, "takes no chunk"))
+                link.close(
+                    WireError(ResultCode.LINK_SILENT, "peer does not read chunk parts")
+                )
                 return
 
     def cancel(self, link: Link, message: messages.ChunkCancel) -> None:
-        """Stop sending a chunk that the peer no longer wants."""
+        """Cancel the upload of a chunk that the peer no longer needs."""
         task = self.tasks.get((link.peer_id, message.query))
         if task is not None:
             task.cancel()
--- a/tests/test_download.py
+++ b/tests/test_download.py
@@ -1,4 +1,4 @@
-"""Copies from holders that are still copying themselves."""
+"""Downloads from holders that are still downloading themselves."""
 
 import asyncio
 import hashlib
@@ -24,137 +24,142 @@
 
 
 class Holder:
-    """Holds some pieces, and more with time; may fail for a while."""
+    """Fake holder that gains pieces over time and can fail a number of requests."""
 
     def __init__(self, name, held, max_in_flight=IN_FLIGHT):
         self.name = self.key = name
         self.max_in_flight = max_in_flight
         self.pieces = set(held)
-        self.more = asyncio.Event()
+        self.changed = asyncio.Event()
         self.failures = 0
-        self.asked = []
-        self.flying = self.most_flying = 0
+        self.requested = []
+        self.in_flight = self.peak_in_flight = 0
 
-    def gains(self, positions):
+    def add_pieces(self, positions):
         self.pieces.update(positions)
-        self.more.set()
-        self.more = asyncio.Event()
+        self.changed.set()
+        self.changed = asyncio.Event()
 
     async def held_pieces(self, manifest, known):
         while len(self.pieces) <= known:
-            await self.more.wait()
+            await self.changed.wait()
         return frozenset(self.pieces)
 
     async def piece(self, model, version, position):
-        self.asked.append(position)
-        self.flying += 1
-        self.most_flying = max(self.most_flying, self.flying)
+        self.requested.append(position)
+        self.in_flight += 1
+        self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
         await asyncio.sleep(0)
-        self.flying -= 1
+        self.in_flight -= 1
         if self.failures:
             self.failures -= 1
-            raise WeightsError(ResultCode.SOURCE_UNAVAILABLE, "away")
+            raise WeightsError(ResultCode.SOURCE_UNAVAILABLE, "unreachable")
         assert position in self.pieces
         return data_of(position)
 
 
-class Copy:
-    """A download and what it kept."""
+class DownloadRun:
+    """A download and the pieces that it stored."""
 
     def __init__(self, holders, retry_s=0.0):
-        self.kept = {}
+        self.stored = {}
         self.download = Download(
-            MANIFEST, range(COUNT), lambda _: holders, self.keep, IN_FLIGHT, retry_s
+            MANIFEST, range(COUNT), lambda _: holders, self.store, IN_FLIGHT, retry_s
         )
 
-    async def keep(self, position, data):
-        assert position not in self.kept
-        self.kept[position] = data
+    async def store(self, position, data):
+        assert position not in self.stored
+        self.stored[position] = data
 
-    async def until(self, count):
-        while len(self.kept) < count:
+    async def wait_until_stored(self, count):
+        while len(self.stored) < count:
             await asyncio.sleep(0)
 
 
 @pytest.fixture(autouse=True)
-def short_times(monkeypatch):
+def short_refresh_interval(monkeypatch):
     monkeypatch.setattr(download_module, "HOLDER_REFRESH_S", 0.01)
 
 
 class TestDownload:
-    def test_missing_piece_holds_up_none_behind_it(self):
-        """Load: the origin went away with the first piece not drawn."""
+    def test_unavailable_piece_does_not_block_later_ones(self):
+        """The origin fails before anyone has fetched the first piece."""
 
         async def run():
             holder = Holder("a", range(1, COUNT))
-            copy = Copy([holder])
-            running = asyncio.create_task(copy.download.run())
-            await copy.until(COUNT - 1)
-            assert holder.asked == list(range(1, COUNT))
-            holder.gains([0])
+            download_run = DownloadRun([holder])
+            running = asyncio.create_task(download_run.download.run())
+            await download_run.wait_until_stored(COUNT - 1)
+            assert holder.requested == list(range(1, COUNT))
+            holder.add_pieces([0])
             await running
-            assert copy.kept == {n: data_of(n) for n in range(COUNT)}
+            assert download_run.stored == {n: data_of(n) for n in range(COUNT)}
 
         asyncio.run(run())
 
-    def test_every_piece_is_asked_for_once_among_several_holders(self):
+    def test_each_piece_is_requested_once_from_several_holders(self):
         async def run():
             holders = [Holder("a", range(COUNT)), Holder("b", range(COUNT))]
-            copy = Copy(holders)
-            await copy.download.run()
-            asked = sorted(holders[0].asked + holders[1].asked)
-            assert asked == list(range(COUNT))
-            assert holders[0].asked and holders[1].asked
+            download_run = DownloadRun(holders)
+            await download_run.download.run()
+            requested = sorted(holders[0].requested + holders[1].requested)
+            assert requested == list(range(COUNT))
+            assert holders[0].requested and holders[1].requested
 
         asyncio.run(run())
 
-    def test_holder_that_fails_is_asked_one_piece_at_a_time(self):
-        """Load: hundreds of copies while the origin is away."""
+    def test_failing_holder_is_asked_for_one_piece_at_a_time(self):
+        """Guards against request floods by hundreds of downloads.
+
+        Without the limit they occur while the origin is unreachable.
+        """
 
         async def run():
             holder = Holder("a", range(COUNT))
             holder.failures = 30
-            copy = Copy([holder])
-            running = asyncio.create_task(copy.download.run())
-            await copy.until(1)
-            assert holder.most_flying <= IN_FLIGHT
-            assert len(holder.asked) <= 30 + IN_FLIGHT
+            download_run = DownloadRun([holder])
+            running = asyncio.create_task(download_run.download.run())
+            await download_run.wait_until_stored(1)
+            assert holder.peak_in_flight <= IN_FLIGHT
+            assert len(holder.requested) <= 30 + IN_FLIGHT
             await running
-            assert len(copy.kept) == COUNT
+            assert len(download_run.stored) == COUNT
 
         asyncio.run(run())
 
-    def test_other_holder_takes_over_from_one_that_is_gone(self):
+    def test_another_holder_replaces_one_that_is_gone(self):
         async def run():
             holders = [Holder("a", range(COUNT))]
             holders[0].failures = 10**6
-            copy = Copy(holders, retry_s=0.01)
-            running = asyncio.create_task(copy.download.run())
+            download_run = DownloadRun(holders, retry_s=0.01)
+            running = asyncio.create_task(download_run.download.run())
             await asyncio.sleep(0.02)
             holders[:] = [Holder("b", range(COUNT))]
             await running
-            assert len(copy.kept) == COUNT
+            assert len(download_run.stored) == COUNT
 
         asyncio.run(run())
 
-    def test_holder_that_lies_spoils_nothing(self):
+    def test_corrupted_pieces_are_fetched_again(self):
         async def run():
-            class Liar(Holder):
+            class CorruptingHolder(Holder):
                 async def piece(self, model, version, position):
                     await super().piece(model, version, position)
-                    return b"spoilt" if len(self.asked) % 2 else data_of(position)
+                    return (
+                        b"corrupted" if len(self.requested) % 2 else data_of(position)
+                    )
 
-            copy = Copy([Liar("a", range(COUNT))])
-            await copy.download.run()
-            assert copy.kept == {n: data_of(n) for n in range(COUNT)}
+            download_run = DownloadRun([CorruptingHolder("a", range(COUNT))])
+            await download_run.download.run()
+            assert download_run.stored == {n: data_of(n) for n in range(COUNT)}
 
         asyncio.run(run())
 
-    def test_cancelled_copy_leaves_no_task_behind(self):
+    def test_cancelled_download_leaves_no_task_behind(self):
         async def run():
-            copy = Copy([Holder("a", range(3))])
-            running = asyncio.create_task(copy.download.run())
-            await copy.until(3)
+            download_run = DownloadRun([Holder("a", range(3))])
+            running = asyncio.create_task(download_run.download.run())
+            await download_run.wait_until_stored(3)
             running.cancel()
             await asyncio.gather(running, return_exceptions=True)
             await asyncio.sleep(0)
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -12,7 +12,7 @@
 from wisteriapulley.weights.seeders import Peer, Seeders, choose_neighbours
 
 CHUNKS = 50
-PATIENCE_MS = 1000
+RANK_DELAY_MS = 1000
 
 
 def peers(count, domains=3):
@@ -25,7 +25,7 @@
     seeders = Seeders(me)
     seeders.set_members(members)
     rng = random.Random(1)
-    return Schedule(seeders, digests, distribution, PATIENCE_MS, rng, 0.0)
+    return Schedule(seeders, digests, distribution, RANK_DELAY_MS, rng, 0.0)
 
 
 class TestSeeders:
@@ -48,7 +48,7 @@
         assert min(drawn) >= 1
         assert max(drawn) <= copies
 
-    def test_ranks_follow_members_that_come_and_go(self):
+    def test_ranks_follow_members_that_join_and_leave(self):
         members = peers(9)
         seeders = Seeders(members[0])
         seeders.set_members(members)
@@ -83,37 +83,37 @@
         members = peers(9)
         return make_schedule(members[0], members, distribution)
 
-    def test_rank_waits_for_its_turn(self):
+    def test_rank_waits_for_its_delay(self):
         schedule = self.schedule()
-        late = [i for i in schedule.missing if schedule.rank(i) == 2]
-        assert not any(schedule.is_turn_at_origin(i, 1999) for i in late)
-        assert all(schedule.is_turn_at_origin(i, 2000) for i in late)
+        third = [i for i in schedule.missing if schedule.rank(i) == 2]
+        assert not any(schedule.is_due_from_origin(i, 1999) for i in third)
+        assert all(schedule.is_due_from_origin(i, 2000) for i in third)
 
-    def test_news_puts_the_next_rank_off_but_not_for_ever(self):
+    def test_new_chunks_extend_the_rank_delay_up_to_a_limit(self):
         schedule = self.schedule()
         index = next(i for i in schedule.missing if schedule.rank(i) == 1)
         other = next(i for i in schedule.missing if i != index)
         schedule.add_have("n1", [other], 900.0)
-        assert not schedule.is_turn_at_origin(index, 1800.0)
+        assert not schedule.is_due_from_origin(index, 1800.0)
         schedule.last_new_chunk_ms = 1e9
-        assert schedule.is_turn_at_origin(index, MAX_RANK_DELAY_FACTOR * PATIENCE_MS)
+        assert schedule.is_due_from_origin(index, MAX_RANK_DELAY_FACTOR * RANK_DELAY_MS)
 
-    def test_patience_counts_from_the_loss_of_the_last_holder(self):
+    def test_rank_delay_starts_when_the_last_holder_disconnects(self):
         schedule = self.schedule()
         index = next(i for i in schedule.missing if schedule.rank(i) == 1)
         schedule.set_have("n1", [index], 0.0)
         schedule.drop_peer("n1", 5000.0)
-        assert not schedule.is_turn_at_origin(index, 5999.0)
-        assert schedule.is_turn_at_origin(index, 6000.0)
+        assert not schedule.is_due_from_origin(index, 5999.0)
+        assert schedule.is_due_from_origin(index, 6000.0)
 
-    def test_rarest_chunk_goes_first(self):
+    def test_rarest_chunk_is_fetched_first(self):
         schedule = self.schedule()
         schedule.set_have("n1", range(CHUNKS), 0.0)
         schedule.set_have("n2", range(1, CHUNKS), 0.0)
         fetches = schedule.next_fetches(0.0, origin=False)
         assert fetches[0].index == 0
 
-    def test_sender_of_bad_bytes_is_not_asked_again(self):
+    def test_sender_of_corrupted_bytes_is_not_asked_again(self):
         schedule = self.schedule()
         schedule.set_have("n1", range(CHUNKS), 0.0)
         bad = next(f for f in schedule.next_fetches(0.0) if f.source == "n1")
@@ -121,16 +121,16 @@
         sources = {f.source for f in schedule.next_fetches(1e9)}
         assert sources <= {ORIGIN}
 
-    def test_late_fetch_is_given_to_another(self):
+    def test_expired_fetch_is_retried_at_another_peer(self):
         schedule = self.schedule()
         schedule.set_have("n1", [3], 0.0)
         assert Fetch(3, "n1") in schedule.next_fetches(0.0, origin=False)
         schedule.set_have("n2", [3], 10.0)
-        (late,) = schedule.expired_fetches(2001.0)
-        schedule.record_failure(late, 2001.0)
+        (expired,) = schedule.expired_fetches(2001.0)
+        schedule.record_failure(expired, 2001.0)
         assert schedule.next_fetches(2001.0, origin=False) == [Fetch(3, "n2")]
 
-    def test_end_game_asks_a_second_source_and_cancels_the_loser(self):
+    def test_end_game_asks_a_second_source_and_cancels_the_slower_fetch(self):
         schedule = self.schedule()
         for index in range(1, CHUNKS):
             schedule.record_chunk(index, 0.0)
@@ -144,7 +144,7 @@
         assert schedule.complete
         assert set(schedule.fetch_counts.values()) == {0}
 
-    def test_origin_that_refuses_is_left_alone_as_long_as_it_says(self):
+    def test_origin_is_not_asked_before_its_retry_time(self):
         schedule = self.schedule()
         fetch = schedule.next_fetches(0.0)[0]
         schedule.record_failure(fetch, 100.0, retry_after_ms=3000.0)
@@ -154,17 +154,17 @@
 
 
 class TestVirtualBurst:
-    """The decisions alone, in virtual time; `make bench-burst` has the processes."""
+    """Run the schedule alone in virtual time; `make bench-burst` runs processes."""
 
     @pytest.mark.parametrize(
         ("distribution", "copies"), [("origin_bytes", 1.1), ("time_to_replicas", 4.0)]
     )
-    def test_time_and_origin_bytes(self, distribution, copies):
+    def test_duration_and_origin_copies(self, distribution, copies):
         result = VirtualBurst(32, 64, distribution, 8).run()
         assert result.ratio_to_bound <= 1.3
         assert result.origin_copies <= copies
 
-    def test_every_first_seeder_killed(self):
+    def test_first_seeder_killed(self):
         burst = VirtualBurst(24, 32, "origin_bytes", 3)
         digest = burst.nodes["n0"].schedule.digests[0]
         first = min(burst.nodes.values(), key=lambda n: n.schedule.seeders.rank(digest))
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -18,49 +18,49 @@
     )
 
 
-def whole(node, manifest):
+def is_complete(node, manifest):
     return all(span.digest in node.swarm.store for span in manifest.spans)
 
 
 class TestSwarm:
-    def test_all_get_all_from_one_copy_of_the_origin(self, tmp_path):
+    def test_one_copy_from_the_origin_serves_all(self, tmp_path):
         manifest = publish(tmp_path, 1)
 
         async def scenario(net):
             await fetch_all(net, manifest)
-            assert all(whole(node, manifest) for node in net.nodes)
-            assert net.sent(manifest.digest) == manifest.size
+            assert all(is_complete(node, manifest) for node in net.nodes)
+            assert net.bytes_sent_by_origin(manifest.digest) == manifest.size
 
         run_net(tmp_path, scenario, 4, rank_delay_ms=5000)
 
-    def test_late_comer_draws_nothing_from_the_origin(self, tmp_path):
+    def test_instance_that_joins_late_draws_nothing_from_the_origin(self, tmp_path):
         manifest = publish(tmp_path, 1)
 
         async def scenario(net):
             await fetch_all(net, manifest, net.nodes[:3])
-            before = net.sent(manifest.digest)
+            before = net.bytes_sent_by_origin(manifest.digest)
             await fetch_all(net, manifest, net.nodes[3:])
-            assert whole(net.nodes[3], manifest)
-            assert net.sent(manifest.digest) == before
+            assert is_complete(net.nodes[3], manifest)
+            assert net.bytes_sent_by_origin(manifest.digest) == before
 
         run_net(tmp_path, scenario, 4)
 
-    def test_chunks_of_the_held_version_are_not_fetched_again(self, tmp_path):
+    def test_chunks_shared_with_the_held_version_are_not_fetched_again(self, tmp_path):
         old, new = publish(tmp_path, 1, 10), publish(tmp_path, 2, 10)
 
         async def scenario(net):
             await fetch_all(net, old)
             net.nodes[0].swarm.serving_version = old.digest
             await fetch_all(net, new)
-            assert net.sent(new.digest) == 6 * CHUNK_BYTES
-            assert whole(net.nodes[0], old)
+            assert net.bytes_sent_by_origin(new.digest) == 6 * CHUNK_BYTES
+            assert is_complete(net.nodes[0], old)
             net.nodes[0].swarm.keep_only({new.digest})
             assert net.nodes[0].swarm.store.size == new.size
             assert list(net.nodes[0].swarm.manifests) == [new.digest]
 
         run_net(tmp_path, scenario, 1)
 
-    def test_superseded_copy_stops_and_leaves_shared_chunks(self, tmp_path):
+    def test_superseded_download_stops_and_keeps_shared_chunks(self, tmp_path):
         old, new = publish(tmp_path, 1, 10), publish(tmp_path, 2, 10)
 
         async def scenario(net):
@@ -76,12 +76,12 @@
             assert first.chart.state == "superseded"
             assert not first.fetch_tasks
             assert swarm.download.version == new.digest
-            assert whole(net.nodes[0], new)
-            assert net.sent(new.digest) < new.size
+            assert is_complete(net.nodes[0], new)
+            assert net.bytes_sent_by_origin(new.digest) < new.size
 
         run_net(tmp_path, scenario, 1)
 
-    def test_peer_that_sends_bad_bytes_is_set_aside(self, tmp_path):
+    def test_peer_that_sends_corrupted_bytes_is_banned(self, tmp_path):
         manifest = publish(tmp_path, 1)
 
         async def scenario(net):
@@ -89,14 +89,14 @@
             net.nodes[0].corrupt = True
             await fetch_all(net, manifest, net.nodes[2:])
             swarm = net.nodes[2].swarm
-            assert whole(net.nodes[2], manifest)
+            assert is_complete(net.nodes[2], manifest)
             assert "n0" in swarm.download.schedule.banned_peers
             assert swarm.corrupted_by_source["n0"] >= 1
 
         run_net(tmp_path, scenario, 3)
 
-    def test_silent_peer_is_replaced_in_mid_copy(self, tmp_path, monkeypatch):
-        """The only holder's link beats but sends no chunk: the origin is asked."""
+    def test_unresponsive_peer_is_replaced_mid_download(self, tmp_path, monkeypatch):
+        """The only holder sends heartbeats but no chunks: the origin must be asked."""
         monkeypatch.setattr(download_module, "PART_TIMEOUT_S", 1e9)
         manifest = publish(tmp_path, 1)
 
@@ -105,9 +105,9 @@
             net.nodes[0].mute = True
             net.nodes[1].swarm.manifests[manifest.digest] = manifest
             await fetch_all(net, manifest, net.nodes[1:])
-            assert whole(net.nodes[1], manifest)
-            assert net.nodes[0].served
-            assert net.sent(manifest.digest) == 2 * manifest.size
+            assert is_complete(net.nodes[1], manifest)
+            assert net.nodes[0].chunk_queries
+            assert net.bytes_sent_by_origin(manifest.digest) == 2 * manifest.size
 
         run_net(tmp_path, scenario, 2)
 
@@ -115,38 +115,38 @@
         manifest = publish(tmp_path, 1)
 
         async def scenario(net):
-            dead, living = net.nodes[:2], net.nodes[2:]
-            for node in dead:
+            killed, remaining = net.nodes[:2], net.nodes[2:]
+            for node in killed:
                 node.mute = True
-            tasks = asyncio.create_task(fetch_all(net, manifest, living))
+            tasks = asyncio.create_task(fetch_all(net, manifest, remaining))
             await asyncio.sleep(0.2)
-            for node in dead:
+            for node in killed:
                 await node.server.stop()
                 for link in node.swarm.open_links():
                     link.close()
             await tasks
-            assert all(whole(node, manifest) for node in living)
+            assert all(is_complete(node, manifest) for node in remaining)
 
         run_net(tmp_path, scenario, 4)
 
     @pytest.mark.parametrize("corrupt_every", [3, 5])
-    def test_bytes_damaged_on_the_way_from_the_origin(self, tmp_path, corrupt_every):
+    def test_bytes_corrupted_in_transit_from_the_origin(self, tmp_path, corrupt_every):
         manifest = publish(tmp_path, 1)
 
         async def scenario(net):
             net.origin.corrupt_every = corrupt_every
             await fetch_all(net, manifest)
-            assert whole(net.nodes[0], manifest)
+            assert is_complete(net.nodes[0], manifest)
 
         run_net(tmp_path, scenario, 1)
 
-    def test_store_stands_in_for_an_origin_that_changed(self, tmp_path):
+    def test_weight_store_replaces_an_origin_that_changed(self, tmp_path):
         manifest = publish(tmp_path, 1)
 
         async def scenario(net):
             net.origin.corrupt_every = 1
             await fetch_all(net, manifest)
-            assert whole(net.nodes[0], manifest)
+            assert is_complete(net.nodes[0], manifest)
 
         run_net(tmp_path, scenario, 1)
 
@@ -164,14 +164,14 @@
 
         run_net(tmp_path, scenario, 1)
 
-    def test_rate_limited_store_is_asked_again_when_it_says(self, tmp_path):
+    def test_rate_limited_store_is_asked_again_after_its_retry_time(self, tmp_path):
         manifest = publish(tmp_path, 1)
 
         async def scenario(net):
             net.origin.requests_per_s = 0.001
             net.store.requests_per_s = 12
             await fetch_all(net, manifest)
-            assert whole(net.nodes[0], manifest)
+            assert is_complete(net.nodes[0], manifest)
             assert net.nodes[0].swarm.sources[0].in_cooldown
 
         run_net(tmp_path, scenario, 1)
@@ -186,7 +186,7 @@
 
         run_net(tmp_path, scenario, 1, store=ChunkStore(CHUNK_BYTES))
 
-    def test_restart_in_mid_copy_counts_only_what_still_matches(self, tmp_path):
+    def test_restart_during_a_download_keeps_only_chunks_that_match(self, tmp_path):
         manifest = publish(tmp_path, 1)
         scratch = tmp_path / "scratch"
         data = (tmp_path / manifest.digest / "files" / "model.bin").read_bytes()
@@ -198,22 +198,22 @@
 
         async def scenario(net):
             await fetch_all(net, manifest)
-            assert net.sent(manifest.digest) == 11 * CHUNK_BYTES
+            assert net.bytes_sent_by_origin(manifest.digest) == 11 * CHUNK_BYTES
             assert net.nodes[0].swarm.store.read(manifest, "model.bin", 0, 99999999)
             assert not (scratch / "half.part").exists()
 
         run_net(tmp_path, scenario, 1, store=FolderStore(str(scratch)))
 
-    def test_progress_is_reported_in_few_steps(self, tmp_path):
+    def test_progress_is_reported_in_a_limited_number_of_steps(self, tmp_path):
         manifest = publish(tmp_path, 1)
 
         async def scenario(net):
-            copy = ChunkDownload(net.nodes[0].swarm, manifest, "origin_bytes")
-            shown = set()
+            download = ChunkDownload(net.nodes[0].swarm, manifest, "origin_bytes")
+            reported = set()
             for done in range(manifest.size + 1):
-                copy.bytes_done = done
-                shown.add(copy.reported_bytes)
-            assert len(shown) <= 22
-            assert manifest.size in shown
+                download.bytes_done = done
+                reported.add(download.reported_bytes)
+            assert len(reported) <= 22
+            assert manifest.size in reported
 
         run_net(tmp_path, scenario, 1)
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -16,27 +16,27 @@
         (tmp_path / "a.bin").write_bytes(b"hello")
         return build_manifest(str(tmp_path), 1000)
 
-    def test_roundtrip_and_verify(self, tmp_path):
+    def test_round_trip_and_verify(self, tmp_path):
         manifest = self.tree(tmp_path)
         assert Manifest.from_bytes(manifest.to_bytes(), manifest.digest) == manifest
         verify_folder(str(tmp_path), manifest)
         assert [s.length for s in manifest.spans] == [5, 1000, 1000, 560]
 
-    def test_changed_byte_is_found(self, tmp_path):
+    def test_changed_byte_is_detected(self, tmp_path):
         manifest = self.tree(tmp_path)
         (tmp_path / "a.bin").write_bytes(b"hellO")
         with pytest.raises(WeightsError) as caught:
             verify_folder(str(tmp_path), manifest)
         assert caught.value.code == ResultCode.CHUNK_CORRUPTED
 
-    def test_path_outside_is_refused(self):
+    def test_path_outside_the_folder_is_rejected(self):
         text = b'{"chunk_bytes":1,"files":[{"path":"../x","size":0,"chunks":[]}]}'
         with pytest.raises(WeightsError):
             Manifest.from_bytes(text)
 
 
 class TestChunkStore:
-    def test_only_verified_bytes_get_in(self, tmp_path):
+    def test_only_verified_bytes_are_stored(self, tmp_path):
         (tmp_path / "f").write_bytes(b"abcdef")
         manifest = build_manifest(str(tmp_path), 4)
         store = ChunkStore()
--- a/tests/weights_kit.py
+++ b/tests/weights_kit.py
@@ -1,4 +1,4 @@
-"""Swarms, sources and versions in one process, for tests of the burst."""
+"""In-process swarms, sources and versions for tests of weight distribution."""
 
 import asyncio
 import json
@@ -25,21 +25,21 @@
 
 def publish(folder: Path, seed: int, shared_chunks: int = 0):
     """Write a version under `folder`; return its manifest."""
-    work = folder / f"work-{seed}"
-    work.mkdir(parents=True)
+    work_folder = folder / f"work-{seed}"
+    work_folder.mkdir(parents=True)
     shared = seeded_bytes(0, shared_chunks * CHUNK_BYTES)
     own = seeded_bytes(seed, (CHUNKS - shared_chunks) * CHUNK_BYTES)
-    (work / "model.bin").write_bytes(shared + own)
-    manifest = build_manifest(str(work), CHUNK_BYTES)
-    home = folder / manifest.digest
-    home.mkdir()
-    work.rename(home / "files")
-    (home / "manifest.json").write_bytes(manifest.to_bytes())
+    (work_folder / "model.bin").write_bytes(shared + own)
+    manifest = build_manifest(str(work_folder), CHUNK_BYTES)
+    version_folder = folder / manifest.digest
+    version_folder.mkdir()
+    work_folder.rename(version_folder / "files")
+    (version_folder / "manifest.json").write_bytes(manifest.to_bytes())
     return manifest
 
 
 class SwarmNode:
-    """A swarm with its listener, as a sidecar has it."""
+    """Swarm with its listener, as in a sidecar."""
 
     def __init__(self, name: str, domain: str, sources, rank_delay_ms, store=None):
         budget = LinkBudget(0)
@@ -54,10 +54,10 @@
         self.server.on_close = self.swarm.drop_link
         self.mute = False
         self.corrupt = False
-        self.served = 0
+        self.chunk_queries = 0
 
     async def handle(self, link, frame) -> None:
-        """Pass frames on as the sidecar's service does."""
+        """Dispatch frames as the sidecar's service does."""
         message = frame.message
         if isinstance(message, messages.Have):
             self.swarm.receive_have(link, message)
@@ -69,15 +69,15 @@
             await self.answer_chunk(link, message, frame)
 
     async def answer_chunk(self, link, message, frame) -> None:
-        """Answer a chunk query: not at all when mute, wrong when corrupt."""
-        self.served += 1
+        """Answer a chunk query: not if `mute`, with a flipped bit if `corrupt`."""
+        self.chunk_queries += 1
         if self.mute:
             return
         if self.corrupt:
             data = self.swarm.store.get(message.digest) or b"x"
-            bad = bytes([data[0] ^ 1]) + data[1:]
-            reply = messages.Chunk(message.digest, 0, len(bad))
-            link.post(reply, reply_to=frame.id, body=bad)
+            corrupted = bytes([data[0] ^ 1]) + data[1:]
+            reply = messages.Chunk(message.digest, 0, len(corrupted))
+            link.post(reply, reply_to=frame.id, body=corrupted)
             return
         await self.swarm.receive_chunk_query(link, message, frame)
 
@@ -91,7 +91,7 @@
 
 
 class SwarmNet:
-    """Nodes linked each to each, an origin, and a store of weights."""
+    """Fully connected nodes, an origin and a weight store."""
 
     def __init__(self, folder: Path):
         self.folder = folder
@@ -101,7 +101,7 @@
         self.nodes: list[SwarmNode] = []
 
     async def start(self, count: int, rank_delay_ms: float = 300, store=None) -> None:
-        """Start sources and `count` nodes."""
+        """Start the sources and `count` nodes."""
         self.session = aiohttp.ClientSession()
         ports = [free_port(), free_port()]
         self.runners = [
@@ -121,8 +121,8 @@
                 await node.open(other)
         await asyncio.sleep(0.05)
 
-    def sent(self, version: str) -> int:
-        """Return the bytes of files that the origin sent of a version."""
+    def bytes_sent_by_origin(self, version: str) -> int:
+        """Return the number of file bytes of a version that the origin sent."""
         lines = (self.folder / "origin.jsonl").read_text().splitlines()
         return sum(
             record["bytes"]
@@ -131,7 +131,7 @@
         )
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop all nodes and sources."""
         for node in self.nodes:
             await node.server.stop()
             for link in node.swarm.open_links():
@@ -142,7 +142,7 @@
 
 
 def run_net(folder: Path, scenario, *arguments, **options) -> None:
-    """Run a scenario with a net, bounded in time."""
+    """Run a scenario on a new net, with a time limit."""
 
     async def run() -> None:
         net = SwarmNet(folder)
