--- a/soak/network.py
+++ b/soak/network.py
@@ -47,7 +47,7 @@
         """Hold what a process sends, and what it should receive."""
         for path in self.of(name):
             sends = path.caller == name
-            path.hold(towards=both_ways or sends, back=both_ways or not sends)
+            path.hold(forward=both_ways or sends, reverse=both_ways or not sends)
 
     def heal(self, name: str) -> None:
         """End every fault of a process's paths but silence."""
--- a/soak/run.py
+++ b/soak/run.py
@@ -240,7 +240,7 @@
     async def slow(self, fault: Fault) -> None:
         """Narrow the paths of a process."""
         for path in self.fleet.network.of(fault.name):
-            path.slow(SLOW_BYTES_S)
+            path.throttle(SLOW_BYTES_S)
         await asyncio.sleep(fault.for_s)
         self.fleet.network.heal(fault.name)
 
--- a/src/wisteriapulley/consensus/files.py
+++ b/src/wisteriapulley/consensus/files.py
@@ -9,7 +9,7 @@
 import os
 from pathlib import Path
 
-from wisteriapulley.errors import NoRoomError, ResultCode, StorageError
+from wisteriapulley.errors import DiskFullError, ResultCode, StorageError
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
 
         Raises
         ------
-        NoRoomError
+        DiskFullError
             DISK_FULL: a part of the data may follow the synced data.
         StorageError
             FSYNC_FAILED: the content of the file is unknown.
@@ -53,7 +53,7 @@
 
         Raises
         ------
-        NoRoomError, StorageError
+        DiskFullError, StorageError
             As for `write_all`.
         """
         try:
@@ -135,7 +135,7 @@
     """Return the error for a failed write."""
     text = f"{path}: {operation}: {error}"
     if error.errno in DISK_FULL_ERRNOS:
-        return NoRoomError(ResultCode.DISK_FULL, text)
+        return DiskFullError(ResultCode.DISK_FULL, text)
     return StorageError(ResultCode.FSYNC_FAILED, text)
 
 
--- a/src/wisteriapulley/consensus/storage.py
+++ b/src/wisteriapulley/consensus/storage.py
@@ -24,7 +24,7 @@
     Snapshot,
     SnapshotInfo,
 )
-from wisteriapulley.errors import NoRoomError, ResultCode, StorageError
+from wisteriapulley.errors import DiskFullError, ResultCode, StorageError
 
 LOG_NAME = "log"
 SNAPSHOT_NAME = "snapshot"
@@ -183,7 +183,7 @@
         try:
             self.recover()
             self.open_log()
-        except NoRoomError as error:
+        except DiskFullError as error:
             self.failure = error
 
     def has_free_space(self) -> bool:
--- a/src/wisteriapulley/control/driver.py
+++ b/src/wisteriapulley/control/driver.py
@@ -21,7 +21,7 @@
 from wisteriapulley.control.seeds import files_of
 from wisteriapulley.control.state import ControlState, stamp
 from wisteriapulley.errors import (
-    NoRoomError,
+    DiskFullError,
     ResultCode,
     StorageError,
     WireError,
@@ -218,7 +218,7 @@
             self.wakeup.clear()
             try:
                 await self.run_batch()
-            except NoRoomError as error:
+            except DiskFullError as error:
                 self.suspend(error)
             except StorageError as error:
                 self.fail(error)
--- a/src/wisteriapulley/daemon.py
+++ b/src/wisteriapulley/daemon.py
@@ -23,7 +23,7 @@
 EXIT_FAILED = 1
 # Objects made since the last collection until the next one. Requests and frames free
 # theirs without it, so the interpreter's own 700 collects again and again for nothing.
-COLLECT_AFTER = 20_000
+GC_THRESHOLD_OBJECTS = 20_000
 
 
 def main() -> int:
@@ -57,10 +57,10 @@
     return 0
 
 
-def collect_rarely() -> None:
+def reduce_gc_frequency() -> None:
     """Leave what the start made out of collections, and collect seldom after it."""
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER)
+    gc.set_threshold(GC_THRESHOLD_OBJECTS)
     gc.enable()
 
 
--- a/src/wisteriapulley/errors.py
+++ b/src/wisteriapulley/errors.py
@@ -381,5 +381,5 @@
     """Failure of the data folder."""
 
 
-class NoRoomError(StorageError):
+class DiskFullError(StorageError):
     """A write met a full disk; what was synced before it is whole."""
--- a/src/wisteriapulley/explain.py
+++ b/src/wisteriapulley/explain.py
@@ -1,19 +1,20 @@
-"""Tells from log files what became of a request, and why.
+"""Explain the outcome of a request from log files.
 
-Lines of any number of processes are taken together: those that name the request,
-and those that tell what happened to its targets and entry around that time.
+The log lines of any number of processes are combined: the lines with the request's
+id, and the lines about its targets and its entry from around the same time.
 """
 
 import json
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-# Changes of a target or of control instances so long before a request's end may
-# have caused it.
-AROUND_S = 3.0
-LAST_WORDS = ("answered", "refused", "answer cut", "caller left")
-# Messages about the surroundings that explain an end, by what they explain.
-CIRCUMSTANCES = (
+# Changes of a target or of control instances within this time before the end of a
+# request may have caused its outcome.
+CONTEXT_BEFORE_END_S = 3.0
+FINAL_MESSAGES = ("answered", "refused", "answer cut", "caller left")
+# Prefixes of messages about targets, engines and processes that can explain the
+# outcome of a request.
+CONTEXT_MESSAGES = (
     "places closed",
     "places open",
     "engine holds",
@@ -34,61 +35,65 @@
     "log lines dropped",
     "weights named",
 )
-# A request that took longer than this came late for most objectives.
-LATE_MS = 500
+# A request that takes longer than this misses most latency objectives.
+SLOW_REQUEST_MS = 500
 
 
 class LogLine(NamedTuple):
-    """One line of a log.
+    """One log line.
 
     Attributes
     ----------
-    at : str
-        Time of day, as written; sorts by time.
+    timestamp : str
+        Date and time as written in the log; sorts chronologically.
     node : str
-        The process.
+        Node id of the process that wrote the line.
     message : str
-        What happened.
+        Log message.
     fields : dict
-        All that the line says.
+        All fields of the line.
     """
 
-    at: str
+    timestamp: str
     node: str
     message: str
     fields: dict[str, object]
 
     @property
-    def seconds(self) -> float:
-        """Seconds of the day."""
-        clock = self.at.partition(" ")[2].replace(",", ".")
+    def seconds_of_day(self) -> float:
+        """Return the time of day in seconds."""
+        clock = self.timestamp.partition(" ")[2].replace(",", ".")
         hours, minutes, seconds = clock.split(":")
         return int(hours) * 3600 + int(minutes) * 60 + float(seconds)
 
 
 class Explanation(NamedTuple):
-    """What became of a request.
+    """Outcome of a request and the log lines that explain it.
 
     Attributes
     ----------
     request_id : str
-        The request.
+        Id of the request.
     cause : str
-        Why it ended so, in a sentence.
+        Reason for its outcome, in one sentence.
     lines : tuple of LogLine
-        Those that name it, oldest first.
-    around : tuple of LogLine
-        What happened to its targets and entry shortly before its end.
+        Log lines with its id, oldest first.
+    context : tuple of LogLine
+        Events at its targets and its entry shortly before its end.
     """
 
     request_id: str
     cause: str
     lines: tuple[LogLine, ...]
-    around: tuple[LogLine, ...]
+    context: tuple[LogLine, ...]
 
 
 def parse(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the lines that are ours; anything before a line's brace is left out."""
+    """Yield the lines in this project's log format.
+
+    Text before the first brace of a line, such as a prefix added by a log
+    collector, is ignored.
+    """
     for text in texts:
         start = text.find("{")
         if start < 0:
@@ -104,31 +109,37 @@
 
 
 def explain(lines: Iterable[LogLine], request_id: str) -> Explanation:
-    """Explain one request from the lines of all processes."""
-    every = sorted(lines, key=lambda line: line.at)
-    own = tuple(x for x in every if x.fields.get("request_id") == request_id)
-    if not own:
+    """Explain the outcome of one request from the log lines of all processes."""
+    all_lines = sorted(lines, key=lambda line: line.timestamp)
+    request_lines = tuple(
+        x for x in all_lines if x.fields.get("request_id") == request_id
+    )
+    if not request_lines:
         cause = (
-            "no line names it: it reached no process whose log is given, or the"
-            " lines were dropped (look for 'log lines dropped')"
+            "no log line has this request id: the request reached no process whose"
+            " log is given, or the lines were dropped (look for 'log lines dropped')"
         )
         return Explanation(request_id, cause, (), ())
-    around = tuple(circumstances(every, own))
-    return Explanation(request_id, cause_of(own, around), own, around)
+    context = tuple(find_context(all_lines, request_lines))
+    return Explanation(
+        request_id, find_cause(request_lines, context), request_lines, context
+    )
 
 
-def circumstances(
-    every: Iterable[LogLine], own: tuple[LogLine, ...]
+def find_context(
+    all_lines: Iterable[LogLine], request_lines: tuple[LogLine, ...]
 ) -> Iterator[LogLine]:
-    """Yield what happened around a request that may explain its end."""
-    targets = {x.fields["target"] for x in own if "target" in x.fields}
-    hosts = {str(x.fields.get("address", "")).rpartition(":")[0] for x in own} - {""}
-    entries = {x.node for x in own}
-    end_s = own[-1].seconds
-    for line in every:
-        if not end_s - AROUND_S <= line.seconds <= end_s + 0.5:
+    """Yield the lines around the end of a request that may explain its outcome."""
+    targets = {x.fields["target"] for x in request_lines if "target" in x.fields}
+    hosts = {
+        str(x.fields.get("address", "")).rpartition(":")[0] for x in request_lines
+    } - {""}
+    entries = {x.node for x in request_lines}
+    end_s = request_lines[-1].seconds_of_day
+    for line in all_lines:
+        if not end_s - CONTEXT_BEFORE_END_S <= line.seconds_of_day <= end_s + 0.5:
             continue
-        if "request_id" in line.fields or not line.message.startswith(CIRCUMSTANCES):
+        if "request_id" in line.fields or not line.message.startswith(CONTEXT_MESSAGES):
             continue
         about_target = line.fields.get("target") in targets
         about_host = line.fields.get("host") in hosts
@@ -136,90 +147,102 @@
             yield line
 
 
-def cause_of(own: tuple[LogLine, ...], around: tuple[LogLine, ...]) -> str:
-    """Say in a sentence why a request ended as it did."""
-    last = next((x for x in reversed(own) if x.message in LAST_WORDS), None)
-    sends = [x for x in own if x.message == "placed"]
-    broken = [x for x in own if x.message == "stream broke off"]
-    if last is None:
-        return f"no last word: the entry {own[0].node} ended while it was served"
-    if last.message == "answered":
-        return answered_cause(last, sends, broken, around) + turned_away(own)
-    if last.message == "refused":
-        return refused_cause(last, sends, around) + turned_away(own)
-    if last.message == "answer cut":
-        where = broken[-1].fields.get("target") if broken else "its target"
+def find_cause(request_lines: tuple[LogLine, ...], context: tuple[LogLine, ...]) -> str:
+    """Return the reason for the outcome of a request, in one sentence."""
+    final = next(
+        (x for x in reversed(request_lines) if x.message in FINAL_MESSAGES), None
+    )
+    sends = [x for x in request_lines if x.message == "placed"]
+    broken_streams = [x for x in request_lines if x.message == "stream broke off"]
+    if final is None:
+        return (
+            f"no final message: the entry {request_lines[0].node} ended while it"
+            " served the request"
+        )
+    if final.message == "answered":
+        return describe_answered(
+            final, sends, broken_streams, context
+        ) + describe_rejections(request_lines)
+    if final.message == "refused":
+        return describe_refused(final, sends, context) + describe_rejections(
+            request_lines
+        )
+    if final.message == "answer cut":
+        where = (
+            broken_streams[-1].fields.get("target") if broken_streams else "its target"
+        )
         return (
-            f"cut in mid-answer: {where} broke off"
-            f" ({last.fields.get('reason')}) and no other target could go on"
+            f"response truncated: the stream of {where} broke off"
+            f" ({final.fields.get('reason')}) and no other target could resume it"
         )
-    return "its caller left before the answer was whole"
+    return "the caller disconnected before the response was complete"
 
 
-def turned_away(own: tuple[LogLine, ...]) -> str:
-    """Name the targets that turned a request away; empty where none did."""
+def describe_rejections(request_lines: tuple[LogLine, ...]) -> str:
+    """Return a clause that names the targets that rejected a request, or ''."""
     names = [
         str(line.fields.get("target"))
-        for line in own
+        for line in request_lines
         if line.message == "target turned a request away"
     ]
-    return f"; turned away by {', '.join(names)}" if names else ""
+    return f"; rejected by {', '.join(names)}" if names else ""
 
 
-def answered_cause(
-    last: LogLine,
+def describe_answered(
+    final: LogLine,
     sends: list[LogLine],
-    broken: list[LogLine],
-    around: tuple[LogLine, ...],
+    broken_streams: list[LogLine],
+    context: tuple[LogLine, ...],
 ) -> str:
-    """Say why an answered request took as long as it did."""
-    took_ms = int(last.fields.get("took_ms", 0))
-    status = last.fields.get("status")
+    """Return why an answered request took as long as it did."""
+    took_ms = int(final.fields.get("took_ms", 0))
+    status = final.fields.get("status")
     if isinstance(status, int) and status >= 500:
-        return f"{last.fields.get('target')} itself answered {status}"
-    if broken:
+        return f"{final.fields.get('target')} itself returned status {status}"
+    if broken_streams:
         return (
-            f"answered after {took_ms} ms; {broken[-1].fields.get('target')} broke"
-            f" off and {last.fields.get('target')} went on"
+            f"answered after {took_ms} ms; the stream of"
+            f" {broken_streams[-1].fields.get('target')} broke off and"
+            f" {final.fields.get('target')} resumed it"
         )
     waited_ms = int(sends[0].fields.get("waited_ms", 0)) if sends else 0
     if len(sends) > 1:
         return f"answered after {took_ms} ms, sent {len(sends)} times"
-    if took_ms > LATE_MS and any(x.message == "places closed" for x in around):
+    if took_ms > SLOW_REQUEST_MS and any(x.message == "places closed" for x in context):
         return (
-            f"answered after {took_ms} ms, waited {waited_ms} ms for a place while"
-            " engines changed their weights"
+            f"answered after {took_ms} ms, waited {waited_ms} ms for a slot while"
+            " engines switched weights"
         )
-    return f"answered after {took_ms} ms, waited {waited_ms} ms for a place"
+    return f"answered after {took_ms} ms, waited {waited_ms} ms for a slot"
 
 
-def refused_cause(
-    last: LogLine, sends: list[LogLine], around: tuple[LogLine, ...]
+def describe_refused(
+    final: LogLine, sends: list[LogLine], context: tuple[LogLine, ...]
 ) -> str:
-    """Say why a request was refused."""
-    reason = last.fields.get("reason", "")
-    kind = last.fields.get("kind", "")
+    """Return why a request was refused."""
+    reason = final.fields.get("reason", "")
+    kind = final.fields.get("kind", "")
     text = f"refused ({kind}): {reason}"
     if sends:
         text += f"; sent to {', '.join(str(x.fields.get('target')) for x in sends)}"
-    if any(x.message == "places closed" for x in around):
-        text += "; engines changed their weights at that time"
+    if any(x.message == "places closed" for x in context):
+        text += "; engines switched weights at that time"
     return text
 
 
 def render(explanation: Explanation) -> Iterator[str]:
-    """Yield an explanation as text."""
+    """Yield the lines of an explanation as text."""
     yield f"{explanation.request_id}: {explanation.cause}"
     for line in explanation.lines:
-        yield f"  {line.at} {line.node}: {describe(line)}"
-    if explanation.around:
-        yield "around it:"
-    for line in explanation.around:
-        yield f"  {line.at} {line.node}: {describe(line)}"
+        yield f"  {line.timestamp} {line.node}: {format_line(line)}"
+    if explanation.context:
+        yield "context:"
+    for line in explanation.context:
+        yield f"  {line.timestamp} {line.node}: {format_line(line)}"
 
 
-def describe(line: LogLine) -> str:
-    """Describe a line by its message and its fields."""
+def format_line(line: LogLine) -> str:
+    """Format a log line as its message followed by its fields."""
     hidden = ("asctime", "levelname", "name", "message", "node", "request_id")
-    said = {k: v for k, v in line.fields.items() if k not in hidden}
-    return " ".join([line.message, *(f"{k}={v}" for k, v in said.items())])
+    shown = {k: v for k, v in line.fields.items() if k not in hidden}
+    return " ".join([line.message, *(f"{k}={v}" for k, v in shown.items())])
--- a/src/wisteriapulley/http_server.py
+++ b/src/wisteriapulley/http_server.py
@@ -19,10 +19,10 @@
 
 MAX_BODY_BYTES = 8 << 20
 # A new connection has this long to bring a request, byte by byte or not.
-FIRST_REQUEST_S = 20.0
+FIRST_REQUEST_TIMEOUT_S = 20.0
 # One that brought some may rest this long, as balancers let theirs.
-KEPT_S = 600.0
-SWEEP_S = 1.0
+KEEP_ALIVE_TIMEOUT_S = 600.0
+SWEEP_INTERVAL_S = 1.0
 
 
 class HttpServer:
@@ -47,11 +47,11 @@
     ):
         self.metrics = metrics
         self.is_ready = is_ready
-        self.first_request_s = FIRST_REQUEST_S
-        self.active: set[object] = set()
-        self.served: set[object] = set()
+        self.first_request_timeout_s = FIRST_REQUEST_TIMEOUT_S
+        self.active_connections: set[object] = set()
+        self.served_connections: set[object] = set()
         self.app = web.Application(
-            middlewares=[self.count_active, coded_errors],
+            middlewares=[self.track_connection, error_middleware],
             client_max_size=max_body_bytes,
         )
         self.app.add_routes(
@@ -67,7 +67,9 @@
 
     async def start(self, address: Address) -> None:
         """Listen at `address`."""
-        self.sweeping = asyncio.get_running_loop().create_task(self.sweep())
+        self.sweep_task = asyncio.get_running_loop().create_task(
+            self.close_idle_connections()
+        )
         self.runner = web.AppRunner(
             self.app, access_log=None, handler_cancellation=True, shutdown_timeout=1.0
         )
@@ -84,11 +86,11 @@
 
     async def stop(self) -> None:
         """Stop listening."""
-        self.sweeping.cancel()
+        self.sweep_task.cancel()
         if self.runner is not None:
             await self.runner.cleanup()
 
-    async def sweep(self) -> None:
+    async def close_idle_connections(self) -> None:
         """Close connections that bring no request for too long.
 
         aiohttp waits for ever for the first header line of a connection: callers
@@ -96,27 +98,33 @@
         """
         idle_since_s: dict[object, float] = {}
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now_s = time.monotonic()
             connections = set(self.runner.server.connections)
-            self.served &= connections
-            idle = connections - self.active
+            self.served_connections &= connections
+            idle = connections - self.active_connections
             idle_since_s = {c: idle_since_s.get(c, now_s) for c in idle}
             for connection, since_s in idle_since_s.items():
-                limit_s = KEPT_S if connection in self.served else self.first_request_s
+                limit_s = (
+                    KEEP_ALIVE_TIMEOUT_S
+                    if connection in self.served_connections
+                    else self.first_request_timeout_s
+                )
                 if now_s - since_s > limit_s:
                     connection.force_close()
 
     @web.middleware
-    async def count_active(self, request: web.Request, handler) -> web.StreamResponse:
+    async def track_connection(
+        self, request: web.Request, handler
+    ) -> web.StreamResponse:
         """Know which connections have a request in progress."""
         protocol = request.protocol
-        self.active.add(protocol)
+        self.active_connections.add(protocol)
         try:
             return await handler(request)
         finally:
-            self.active.discard(protocol)
-            self.served.add(protocol)
+            self.active_connections.discard(protocol)
+            self.served_connections.add(protocol)
 
     async def live(self, request: web.Request) -> web.Response:
         """Answer that the loop runs."""
@@ -177,7 +185,7 @@
 
 
 @web.middleware
-async def coded_errors(request: web.Request, handler) -> web.StreamResponse:
+async def error_middleware(request: web.Request, handler) -> web.StreamResponse:
     """Answer coded errors as JSON."""
     try:
         return await handler(request)
--- a/src/wisteriapulley/logs.py
+++ b/src/wisteriapulley/logs.py
@@ -13,18 +13,18 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
+LINE_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 STDOUT = 1
 # Lines a second of one process, of what tells that all goes well. An entry of
 # the peak serves 12 requests a second with three lines each; a line costs 40 us.
-LINES_PER_S = 100.0
+INFO_LINES_PER_S = 100.0
 # Warnings and errors explain failures, so they have a budget of their own.
-WARNINGS_PER_S = 100.0
+WARNING_LINES_PER_S = 100.0
 BURST_S = 3.0
 # What was dropped is told this often.
-TELL_S = 1.0
+DROP_REPORT_INTERVAL_S = 1.0
 # The rest of a line of which the reader took only a part.
-MOST_PENDING_BYTES = 1 << 16
+MAX_PENDING_BYTES = 1 << 16
 
 
 class LineBudget:
@@ -38,17 +38,17 @@
 
     def __init__(self, rate: float):
         self.rate = rate
-        self.left = rate * BURST_S
-        self.filled_s = 0.0
+        self.available = rate * BURST_S
+        self.refilled_s = 0.0
 
-    def take(self, now_s: float) -> bool:
+    def spend(self, now_s: float) -> bool:
         """Take one line, if there is one left."""
-        gained = (now_s - self.filled_s) * self.rate
-        self.left = min(self.rate * BURST_S, self.left + max(0.0, gained))
-        self.filled_s = now_s
-        if self.left < 1.0:
+        gained = (now_s - self.refilled_s) * self.rate
+        self.available = min(self.rate * BURST_S, self.available + max(0.0, gained))
+        self.refilled_s = now_s
+        if self.available < 1.0:
             return False
-        self.left -= 1.0
+        self.available -= 1.0
         return True
 
 
@@ -74,11 +74,11 @@
         super().__init__()
         self.descriptor = descriptor
         self.clock = clock
-        self.ordinary = LineBudget(LINES_PER_S)
-        self.warnings = LineBudget(WARNINGS_PER_S)
+        self.info_budget = LineBudget(INFO_LINES_PER_S)
+        self.warning_budget = LineBudget(WARNING_LINES_PER_S)
         self.dropped: Counter[str] = Counter()
         self.lost = 0
-        self.told_s = clock()
+        self.reported_s = clock()
         self.pending = b""
         os.set_blocking(descriptor, False)
 
@@ -86,12 +86,12 @@
         """Write a record, or count it as dropped."""
         now_s = self.clock()
         warning = record.levelno >= logging.WARNING
-        budget = self.warnings if warning else self.ordinary
-        if not budget.take(now_s) or not self.write_record(record):
+        budget = self.warning_budget if warning else self.info_budget
+        if not budget.spend(now_s) or not self.write_record(record):
             self.dropped[str(record.msg)] += 1
             self.lost += 1
-        if self.dropped and now_s - self.told_s >= TELL_S:
-            self.tell(now_s)
+        if self.dropped and now_s - self.reported_s >= DROP_REPORT_INTERVAL_S:
+            self.report_dropped(now_s)
 
     def write_record(self, record: logging.LogRecord) -> bool:
         """Format and write a record; tell whether it was taken."""
@@ -102,9 +102,9 @@
             return False
         return self.write(line.encode() + b"\n")
 
-    def tell(self, now_s: float) -> None:
+    def report_dropped(self, now_s: float) -> None:
         """Write what was dropped."""
-        self.told_s = now_s
+        self.reported_s = now_s
         counts, self.dropped = dict(self.dropped), Counter()
         record = logging.LogRecord(
             __name__, logging.WARNING, "", 0, "log lines dropped", (), None
@@ -120,7 +120,7 @@
         written = self.write_some(data)
         if written == 0:
             return False
-        self.pending = data[written:][:MOST_PENDING_BYTES]
+        self.pending = data[written:][:MAX_PENDING_BYTES]
         return True
 
     def flush_pending(self) -> bool:
@@ -157,7 +157,7 @@
         Counts the lines that were dropped.
     """
     handler = BoundedHandler(descriptor)
-    handler.setFormatter(JsonFormatter(FIELDS, static_fields={"node": node_id}))
+    handler.setFormatter(JsonFormatter(LINE_FORMAT, static_fields={"node": node_id}))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
--- a/src/wisteriapulley/platform/daemons.py
+++ b/src/wisteriapulley/platform/daemons.py
@@ -57,14 +57,14 @@
     from wisteriapulley.platform.http import HttpClient
     from wisteriapulley.platform.ingress import Ingress
     from wisteriapulley.platform.target_client import HttpTargetClient
-    from wisteriapulley.readiness import ReadinessCall
+    from wisteriapulley.readiness import ReadinessServer
 
     class PlatformEntry(DirectEntryService):
         """An entry that also answers the balancer."""
 
         async def start(self) -> None:
             """Listen for the balancer, then start."""
-            self.readiness = ReadinessCall(names.READY_CALL, self.is_ready)
+            self.readiness = ReadinessServer(names.READY_CALL, self.is_ready)
             await self.readiness.start(self.settings.ready_listen)
             await super().start()
 
@@ -99,7 +99,7 @@
     WisteriapulleyError
         It could not start, or failed for good.
     """
-    from wisteriapulley.daemon import collect_rarely, serve
+    from wisteriapulley.daemon import reduce_gc_frequency, serve
     from wisteriapulley.logs import fields
     from wisteriapulley.settings_watch import SettingsWatch
 
@@ -111,7 +111,7 @@
         lambda changed: service.meet_hosts(seed.host for seed in changed.seeds()),
     )
     watch.start()
-    collect_rarely()
+    reduce_gc_frequency()
     log.info("started", extra=fields(role=role))
     try:
         await serve(service)
--- a/src/wisteriapulley/readiness.py
+++ b/src/wisteriapulley/readiness.py
@@ -7,7 +7,7 @@
 from wisteriapulley.settings import Address
 
 
-class ReadinessCall:
+class ReadinessServer:
     """Answers the balancer's question.
 
     Parameters
--- a/src/wisteriapulley/reference.py
+++ b/src/wisteriapulley/reference.py
@@ -17,7 +17,7 @@
 RESULT_CODES_PAGE = FOLDER / "result-codes.md"
 
 
-def header(title: str, source: str) -> Iterator[str]:
+def page_header(title: str, source: str) -> Iterator[str]:
     """Yield a page's first lines."""
     yield f"# {title}"
     yield ""
@@ -25,7 +25,7 @@
     yield ""
 
 
-def table(*names: str) -> Iterator[str]:
+def table_header(*names: str) -> Iterator[str]:
     """Yield the head of a table."""
     yield f"| {' | '.join(names)} |"
     yield "|" + " --- |" * len(names)
@@ -33,13 +33,13 @@
 
 def result_code_lines() -> Iterator[str]:
     """Yield the lines of the result code table."""
-    yield from header("Result codes", "errors.py")
-    yield from table("code", "name", "meaning", "HTTP", "not run", "what to do")
+    yield from page_header("Result codes", "errors.py")
+    yield from table_header("code", "name", "meaning", "HTTP", "not run", "what to do")
     for code, entry in CODE_TABLE.items():
-        promise = "yes" if entry.not_run else ""
+        not_run = "yes" if entry.not_run else ""
         yield (
             f"| {int(code)} | {code.name} | {entry.meaning} | {entry.http_status}"
-            f" | {promise} | {entry.action} |"
+            f" | {not_run} | {entry.action} |"
         )
 
 
@@ -59,25 +59,25 @@
 
 def setting_lines() -> Iterator[str]:
     """Yield the settings of each role."""
-    yield from header("Settings", "settings.py")
+    yield from page_header("Settings", "settings.py")
     yield "One JSON object a daemon; `wisteriapulley settings check ROLE FILE`"
     yield "checks it."
     for role, kind in ROLES.items():
         yield ""
         yield f"## {role}"
         yield ""
-        described = descriptions(kind)
-        yield from table("key", "type", "default", "meaning")
+        meanings = read_attribute_docs(kind)
+        yield from table_header("key", "type", "default", "meaning")
         for field in msgspec.structs.fields(kind):
             default = "required"
             if field.default is not msgspec.NODEFAULT:
                 default = f"`{msgspec.json.encode(field.default).decode()}`"
-            meaning = described.get(field.name, "")
+            meaning = meanings.get(field.name, "")
             kind_text = type_text(field.type)
             yield f"| `{field.name}` | {kind_text} | {default} | {meaning} |"
 
 
-def descriptions(kind: type) -> dict[str, str]:
+def read_attribute_docs(kind: type) -> dict[str, str]:
     """Read the attributes that a class and its bases document."""
     found: dict[str, str] = {}
     for base in reversed(kind.__mro__):
@@ -95,7 +95,7 @@
 
 def command_lines() -> Iterator[str]:
     """Yield every command with its arguments."""
-    yield from header("Command line", "cli.py")
+    yield from page_header("Command line", "cli.py")
     yield "Exit status: 0, 1 on an error (its code and message on standard error), 2"
     yield "on wrong usage, 3 when `catalogue diff` finds a difference."
     yield from command_sections(cli.Main, ())
@@ -106,9 +106,9 @@
     command = kind.__cappa__
     names = (*names, command.name)
     hints = typing.get_type_hints(kind, include_extras=True)
-    below = hints.get("command")
-    if below is not None:
-        for choice in typing.get_args(typing.get_args(below)[0]):
+    subcommands = hints.get("command")
+    if subcommands is not None:
+        for choice in typing.get_args(typing.get_args(subcommands)[0]):
             yield from command_sections(choice, names)
         return
     yield ""
@@ -118,7 +118,7 @@
     fields = dataclasses.fields(kind)
     if fields:
         yield ""
-        yield from table("argument", "meaning")
+        yield from table_header("argument", "meaning")
     for field in fields:
         yield f"| {argument_text(field, hints[field.name])} |"
 
@@ -134,7 +134,7 @@
 
 def wire_lines() -> Iterator[str]:
     """Yield every message of the links."""
-    yield from header("Wire", "wire/messages.py")
+    yield from page_header("Wire", "wire/messages.py")
     yield "Frames between the system's own processes; `wire/messages.capnp` is the"
     yield "schema, and a test holds both together. Bodies follow the message raw."
     for name, kind in vars(messages).items():
@@ -145,7 +145,7 @@
         yield ""
         yield (inspect.getdoc(kind) or "").partition("\n\n")[0].replace("\n", " ")
         yield ""
-        yield from table("field", "type")
+        yield from table_header("field", "type")
         for field, hint in typing.get_type_hints(kind).items():
             yield f"| `{field}` | {type_text(hint)} |"
 
--- a/src/wisteriapulley/settings.py
+++ b/src/wisteriapulley/settings.py
@@ -258,7 +258,7 @@
             ResultCode.SETTINGS_UNREADABLE, f"{path}: expected JSON: {error}"
         ) from error
     try:
-        return msgspec.convert(addresses(tree), ROLES[role], strict=True)
+        return msgspec.convert(expand_addresses(tree), ROLES[role], strict=True)
     except (msgspec.ValidationError, ValueError) as error:
         raise SettingsError(ResultCode.SETTINGS_INVALID, f"{path}: {error}") from error
 
@@ -273,12 +273,12 @@
 )
 
 
-def addresses(tree: object, key: str = "") -> object:
+def expand_addresses(tree: object, key: str = "") -> object:
     """Expand ``ip:port`` texts of known keys into address objects."""
     if isinstance(tree, dict):
-        return {name: addresses(value, name) for name, value in tree.items()}
+        return {name: expand_addresses(value, name) for name, value in tree.items()}
     if isinstance(tree, list):
-        return [addresses(value, key) for value in tree]
+        return [expand_addresses(value, key) for value in tree]
     if isinstance(tree, str) and key in ADDRESS_KEYS:
         return parse_address(tree, key)
     return tree
@@ -298,15 +298,15 @@
 
 def check(settings: NodeSettings, path: str) -> NodeSettings:
     """Check what no single key shows: clashes, ranges and folders."""
-    positive = [
+    non_positive = [
         name
         for name in settings.__struct_fields__
         if name.endswith("_ms") and getattr(settings, name) <= 0
     ]
-    if positive:
+    if non_positive:
         raise SettingsError(
             ResultCode.SETTINGS_INVALID,
-            f"{path}: expected milliseconds above 0 - at `$.{positive[0]}`",
+            f"{path}: expected milliseconds above 0 - at `$.{non_positive[0]}`",
         )
     if settings.silence_ms < 2 * settings.heartbeat_ms:
         raise SettingsError(
@@ -314,12 +314,12 @@
             f"{path}: expected at least two heartbeats ({2 * settings.heartbeat_ms}),"
             f" got {settings.silence_ms} - at `$.silence_ms`",
         )
-    check_clash(settings, path)
+    check_address_clash(settings, path)
     check_role(settings, path)
     return settings
 
 
-def check_clash(settings: NodeSettings, path: str) -> None:
+def check_address_clash(settings: NodeSettings, path: str) -> None:
     """Refuse one address for two listeners."""
     wire = getattr(settings, "wire_listen", None)
     if wire is not None and wire == settings.http_listen and wire.port:
--- a/src/wisteriapulley/settings_watch.py
+++ b/src/wisteriapulley/settings_watch.py
@@ -14,7 +14,7 @@
 
 # A look at the file's time costs a microsecond; news of control instances may
 # wait this long, since the running links tell them as well.
-LOOK_S = 1.0
+POLL_INTERVAL_S = 1.0
 
 
 AnySettings = TypeVar("AnySettings")
@@ -46,7 +46,7 @@
         self.read = read
         self.settings = settings
         self.on_change = on_change
-        self.signalled = asyncio.Event()
+        self.reload_requested = asyncio.Event()
         self.stamp = self.file_stamp()
         self.task: asyncio.Task | None = None
 
@@ -54,7 +54,8 @@
         """Take signals, and begin to look."""
         loop = asyncio.get_running_loop()
         signal.signal(
-            signal.SIGHUP, lambda *_: loop.call_soon_threadsafe(self.signalled.set)
+            signal.SIGHUP,
+            lambda *_: loop.call_soon_threadsafe(self.reload_requested.set),
         )
         self.task = loop.create_task(self.run())
 
@@ -76,12 +77,12 @@
         """Look at the file now and then, and after each signal."""
         while True:
             try:
-                async with asyncio.timeout(LOOK_S):
-                    await self.signalled.wait()
+                async with asyncio.timeout(POLL_INTERVAL_S):
+                    await self.reload_requested.wait()
             except TimeoutError:
                 if self.file_stamp() == self.stamp:
                     continue
-            self.signalled.clear()
+            self.reload_requested.clear()
             self.reload()
 
     def reload(self) -> None:
--- a/src/wisteriapulley/start_order.py
+++ b/src/wisteriapulley/start_order.py
@@ -13,11 +13,11 @@
 
 # A process that starts listens after some 0.3 s of processor time; one that does not
 # run at all must not be waited for much longer.
-MOST_WAIT_S = 0.6
-LOOK_AGAIN_S = 0.02
+MAX_WAIT_S = 0.6
+POLL_INTERVAL_S = 0.02
 
 
-def wait_for_listener(address: Address, most_s: float = MOST_WAIT_S) -> bool:
+def wait_for_listener(address: Address, max_wait_s: float = MAX_WAIT_S) -> bool:
     """Wait until something listens at an address of this instance, but not for long.
 
     Parameters
@@ -32,18 +32,18 @@
     bool
         Whether it listens.
     """
-    until_s = time.monotonic() + most_s
-    while not listens(address):
-        if time.monotonic() >= until_s:
+    deadline_s = time.monotonic() + max_wait_s
+    while not is_listening(address):
+        if time.monotonic() >= deadline_s:
             return False
-        time.sleep(LOOK_AGAIN_S)
+        time.sleep(POLL_INTERVAL_S)
     return True
 
 
-def listens(address: Address) -> bool:
+def is_listening(address: Address) -> bool:
     """Tell whether a connection to an address is taken."""
     try:
-        socket.create_connection((address.host, address.port), LOOK_AGAIN_S).close()
+        socket.create_connection((address.host, address.port), POLL_INTERVAL_S).close()
     except OSError:
         return False
     return True
--- a/tests/demo.py
+++ b/tests/demo.py
@@ -21,10 +21,10 @@
 MODEL_BYTES = 24 << 20
 SHARED_BYTES = 4 << 20
 CHUNK_BYTES = 1 << 20
-RATE = 60.0
-SWITCH_S = 90.0
-POLL_S = 0.1
-CONFIG_S = 12.0
+REQUESTS_PER_S = 60.0
+SWITCH_TIMEOUT_S = 90.0
+POLL_INTERVAL_S = 0.1
+MAX_CONFIG_S = 12.0
 TRINACRIA = "aste-riunite-trinacria"
 LETTERCRAFT = "lettercraft"
 DOMAINS = {
@@ -98,7 +98,7 @@
         fleet.apply(folder, owner)
 
 
-def engines(fleet: Fleet) -> list[str]:
+def engine_nodes(fleet: Fleet) -> list[str]:
     """Return the node ids of sidecars beside engines."""
     return [
         name
@@ -135,11 +135,11 @@
     """
     start_s = time.monotonic()
     config: dict[str, float] = {}
-    while time.monotonic() - start_s < SWITCH_S:
+    while time.monotonic() - start_s < SWITCH_TIMEOUT_S:
         rows = (await status.read())["nodes"]
         elapsed = time.monotonic() - start_s
         if len(rows) >= nodes:
-            note_domains(rows, revision, elapsed, config)
+            record_domain_times(rows, revision, elapsed, config)
         done = [
             row["node_id"]
             for row in rows
@@ -147,11 +147,11 @@
         ]
         if set(names) <= set(done):
             return elapsed, config
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     raise RuntimeError(f"only {sorted(done)} of {sorted(names)} serve {version}")
 
 
-def note_domains(
+def record_domain_times(
     rows: list[dict], revision: int, elapsed: float, config: dict[str, float]
 ) -> None:
     """Note the time at which a failure domain has the revision everywhere."""
@@ -171,7 +171,7 @@
     apply_version(fleet, first)
     await fleet.wait_ready()
     entries = [fleet.nodes[name].http for name in ("entry-1", "entry-2")]
-    callers = Callers(entries, WORKLOADS, RATE)
+    callers = Callers(entries, WORKLOADS, REQUESTS_PER_S)
     load = asyncio.create_task(callers.run())
     await asyncio.sleep(3)
     before = origin_bytes(fleet)
@@ -179,7 +179,7 @@
         status = Status(fleet, session)
         revision = (await status.read())["revision"] + len(SERVICES)
         watching = len(fleet.nodes) - len(controls)
-        names = engines(fleet)
+        names = engine_nodes(fleet)
         applying = asyncio.create_task(asyncio.to_thread(apply_version, fleet, second))
         seconds, config = await follow_switch(status, names, second, revision, watching)
         await applying
@@ -203,17 +203,17 @@
     return sum(record["bytes"] for record in sent if record["event"] == "sent")
 
 
-def broken(figures: dict) -> list[str]:
+def broken_promises(figures: dict) -> list[str]:
     """Return the promises that the figures show broken."""
-    faults = ["lost", "duplicated", "mixed_version", "wrong_caller", "false_not_run"]
-    found = [name for name in faults if figures[name]]
+    promises = ["lost", "duplicated", "mixed_version", "wrong_caller", "false_not_run"]
+    found = [name for name in promises if figures[name]]
     config = figures["config_seconds_by_failure_domain"]
-    if len(config) < 6 or max(config.values()) > CONFIG_S:
+    if len(config) < 6 or max(config.values()) > MAX_CONFIG_S:
         found.append("config_seconds_by_failure_domain")
     return found
 
 
-def table(figures: dict) -> str:
+def format_table(figures: dict) -> str:
     """Format the figures for a person."""
     lines = ["", "wisteriapulley demo", "=" * 60]
     for name, value in figures.items():
@@ -233,11 +233,11 @@
         figures = asyncio.run(run(fleet))
     finally:
         fleet.stop()
-    print(table(figures))
-    faults = broken(figures)
-    print("promises broken: " + (", ".join(faults) if faults else "none"))
+    print(format_table(figures))
+    broken = broken_promises(figures)
+    print("promises broken: " + (", ".join(broken) if broken else "none"))
     print(json.dumps(figures))
-    return 1 if faults else 0
+    return 1 if broken else 0
 
 
 if __name__ == "__main__":
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -22,9 +22,9 @@
     "trinacria-token-0123456789": "aste-riunite-trinacria",
     "lettercraft-token-0123456789": "lettercraft",
 }
-READY_S = 30.0
-LISTEN_PORTS = (12000, 32000)
-GIVEN_PORTS: set[int] = set()
+READY_TIMEOUT_S = 30.0
+LISTEN_PORT_RANGE = (12000, 32000)
+ALLOCATED_PORTS: set[int] = set()
 
 
 def free_port() -> int:
@@ -34,11 +34,11 @@
     could take the port before the process that it is meant for listens.
     """
     while True:
-        port = random.SystemRandom().randrange(*LISTEN_PORTS)
+        port = random.SystemRandom().randrange(*LISTEN_PORT_RANGE)
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.bind(("127.0.0.1", port))
-            if port not in GIVEN_PORTS:
-                GIVEN_PORTS.add(port)
+            if port not in ALLOCATED_PORTS:
+                ALLOCATED_PORTS.add(port)
                 return port
 
 
@@ -185,7 +185,7 @@
         self.nodes[name] = node
         return node
 
-    def common(self, node_id: str, domain: str, **more: object) -> dict:
+    def common_settings(self, node_id: str, domain: str, **more: object) -> dict:
         """Return the settings that every daemon has."""
         return {
             "node_id": node_id,
@@ -212,7 +212,7 @@
                 if other != name
             ]
             self.controls.append(
-                self.common(
+                self.common_settings(
                     name,
                     domain,
                     wire_listen=wires[name],
@@ -258,7 +258,9 @@
 
     def start_entry(self, node_id: str, domain: str, **more: object) -> Node:
         """Start an entry."""
-        settings = self.common(node_id, domain, control=self.control_wires, **more)
+        settings = self.common_settings(
+            node_id, domain, control=self.control_wires, **more
+        )
         return self.start_node("entry", settings)
 
     def start_target(
@@ -274,7 +276,7 @@
         options = ["--name", node_id, *fake_options]
         options += ["--plain"] if kind == "plain" else []
         port = self.start_fake(f"target-{node_id}", "engine", *options)
-        settings = self.common(
+        settings = self.common_settings(
             node_id,
             domain,
             wire_listen=address(free_port()),
@@ -373,7 +375,7 @@
 
 async def wait_ready(session: aiohttp.ClientSession, node: Node) -> None:
     """Wait until one daemon is ready."""
-    deadline = time.monotonic() + READY_S
+    deadline = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < deadline:
         if node.process.popen.poll() is not None:
             break
--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -129,7 +129,7 @@
 
 async def cut_one_way(context: Context, victim: str) -> None:
     """Hold what a node's links carry towards the side that was connected to."""
-    await links(context, victim, lambda relay: relay.hold(back=False))
+    await links(context, victim, lambda relay: relay.hold(reverse=False))
 
 
 async def silence(context: Context, victim: str) -> None:
@@ -139,7 +139,7 @@
 
 async def slow(context: Context, victim: str) -> None:
     """Slow every link of a node."""
-    await links(context, victim, lambda relay: relay.slow(SLOW_BYTES_PER_S))
+    await links(context, victim, lambda relay: relay.throttle(SLOW_BYTES_PER_S))
 
 
 async def corrupt(context: Context, victim: str) -> None:
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -9,7 +9,7 @@
 import contextlib
 import socket
 
-PIECE_BYTES = 1 << 16
+READ_BYTES = 1 << 16
 # Pieces below this are control frames and headers, not weights.
 CORRUPT_FROM_BYTES = 4096
 
@@ -18,14 +18,14 @@
     """One way through the relay."""
 
     def __init__(self):
-        self.flowing = asyncio.Event()
-        self.flowing.set()
+        self.open = asyncio.Event()
+        self.open.set()
         self.bytes_per_s = 0.0
         self.corrupting = False
 
-    async def shape(self, piece: bytes) -> bytes:
+    async def apply_faults(self, piece: bytes) -> bytes:
         """Wait while held, then slow or corrupt a piece."""
-        await self.flowing.wait()
+        await self.open.wait()
         if self.bytes_per_s:
             await asyncio.sleep(len(piece) / self.bytes_per_s)
         if self.corrupting and len(piece) >= CORRUPT_FROM_BYTES:
@@ -54,8 +54,8 @@
         self.socket.bind(listen)
         self.socket.listen(128)
         self.address = f"{listen[0]}:{self.socket.getsockname()[1]}"
-        self.towards = Direction()
-        self.back = Direction()
+        self.forward = Direction()
+        self.reverse = Direction()
         self.refusing = False
         self.server: asyncio.Server | None = None
         self.connections: dict[asyncio.Task, asyncio.Event] = {}
@@ -68,23 +68,23 @@
         """Pass one connection on until either end closes."""
         task = asyncio.current_task()
         silenced = self.connections[task] = asyncio.Event()
-        opened = [writer]
+        writers = [writer]
         try:
             if self.refusing:
                 return
             # A held way holds the first packet of a new connection as well.
-            await self.towards.flowing.wait()
-            await self.back.flowing.wait()
+            await self.forward.open.wait()
+            await self.reverse.open.wait()
             far_reader, far_writer = await asyncio.open_connection(self.host, self.port)
-            opened.append(far_writer)
+            writers.append(far_writer)
             async with asyncio.TaskGroup() as group:
-                group.create_task(pump(reader, far_writer, self.towards, silenced))
-                group.create_task(pump(far_reader, writer, self.back, silenced))
+                group.create_task(pump(reader, far_writer, self.forward, silenced))
+                group.create_task(pump(far_reader, writer, self.reverse, silenced))
         except* (OSError, asyncio.CancelledError):
             pass
         finally:
             self.connections.pop(task, None)
-            for end in opened:
+            for end in writers:
                 end.transport.abort() if self.refusing else end.close()
 
     def cut(self) -> None:
@@ -97,32 +97,32 @@
         for task in tuple(self.connections):
             task.cancel()
 
-    def hold(self, towards: bool = True, back: bool = True) -> None:
+    def hold(self, forward: bool = True, reverse: bool = True) -> None:
         """Hold one way or both."""
-        if towards:
-            self.towards.flowing.clear()
-        if back:
-            self.back.flowing.clear()
+        if forward:
+            self.forward.open.clear()
+        if reverse:
+            self.reverse.open.clear()
 
     def silence(self) -> None:
         """Let no byte pass on today's connections ever again."""
         for silenced in self.connections.values():
             silenced.set()
 
-    def slow(self, bytes_per_s: float) -> None:
+    def throttle(self, bytes_per_s: float) -> None:
         """Limit both ways."""
-        self.towards.bytes_per_s = self.back.bytes_per_s = bytes_per_s
+        self.forward.bytes_per_s = self.reverse.bytes_per_s = bytes_per_s
 
     def corrupt(self) -> None:
         """Flip a byte in each long piece that comes back."""
-        self.back.corrupting = True
+        self.reverse.corrupting = True
 
     def heal(self) -> None:
         """End every fault but silence, which lasts as long as its connections."""
-        self.refusing = self.back.corrupting = False
-        self.slow(0.0)
-        self.towards.flowing.set()
-        self.back.flowing.set()
+        self.refusing = self.reverse.corrupting = False
+        self.throttle(0.0)
+        self.forward.open.set()
+        self.reverse.open.set()
 
     async def stop(self) -> None:
         """Close everything."""
@@ -136,8 +136,8 @@
 async def pump(reader, writer, direction: Direction, silenced: asyncio.Event) -> None:
     """Pass bytes one way; end both ways when this one ends."""
     with contextlib.suppress(OSError):
-        while piece := await reader.read(PIECE_BYTES):
-            piece = await direction.shape(piece)
+        while piece := await reader.read(READ_BYTES):
+            piece = await direction.apply_faults(piece)
             if silenced.is_set():
                 await asyncio.Event().wait()
             writer.write(piece)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -28,7 +28,7 @@
 MAX_BYTES = 1000
 
 
-async def start(budget=None):
+async def start_server(budget=None):
     """Serve what an entry would parse; answer what it made of it."""
     from aiohttp import web
 
@@ -66,11 +66,11 @@
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
-def ask(data, **more):
+def post_raw(data, **more):
     """Return status and body of the answer to raw bytes."""
 
     async def run():
-        server = await start(**more)
+        server = await start_server(**more)
         try:
             return await send_raw(server, data)
         finally:
@@ -110,24 +110,24 @@
         ],
     )
     def test_each_has_its_code_and_did_not_run(self, data, code):
-        _, body = ask(data)
+        _, body = post_raw(data)
         error = json.loads(body)["error"]
         assert (error["code"], error["not_run"]) == (code, True)
 
     def test_no_http_is_answered_and_closed(self):
-        assert ask(b"\x16\x03\x01\x02\x00garbage\r\n\r\n")[0] == 400
+        assert post_raw(b"\x16\x03\x01\x02\x00garbage\r\n\r\n")[0] == 400
 
     def test_engine_paths_are_not_for_callers(self):
         # Guards: /services/<model>/control/load reached the engine.
-        _, body = ask(http("/services/drafts/control/load", b"{}", ACCOUNT))
+        _, body = post_raw(http("/services/drafts/control/load", b"{}", ACCOUNT))
         assert json.loads(body)["error"]["code"] == ResultCode.UNKNOWN_MODEL
 
     def test_path_goes_on_as_it_was_encoded(self):
-        _, body = ask(http("/services/titles/a%2Fb%3Fc?q=%20", b"", ACCOUNT))
+        _, body = post_raw(http("/services/titles/a%2Fb%3Fc?q=%20", b"", ACCOUNT))
         assert json.loads(body)[0] == "/a%2Fb%3Fc?q=%20"
 
     def test_bodies_beyond_the_budget_are_refused(self):
-        _, body = ask(
+        _, body = post_raw(
             http("/services/titles/x", b"x" * 100, ACCOUNT), budget=BodyBudget(50)
         )
         assert json.loads(body)["error"]["code"] == ResultCode.OVERLOADED
@@ -136,15 +136,15 @@
         monkeypatch.setattr(body_module, "BODY_READ_TIMEOUT_S", 0.05)
         data = http("/services/titles/x", b"", ACCOUNT)
         data = data.replace(b"Content-Length: 0", b"Content-Length: 9")
-        _, body = ask(data)
+        _, body = post_raw(data)
         assert json.loads(body)["error"]["code"] == ResultCode.REQUEST_MALFORMED
 
     def test_slow_headers_are_cut_off(self, monkeypatch):
-        monkeypatch.setattr(http_server, "SWEEP_S", 0.02)
-        monkeypatch.setattr(http_server, "FIRST_REQUEST_S", 0.05)
+        monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
+        monkeypatch.setattr(http_server, "FIRST_REQUEST_TIMEOUT_S", 0.05)
 
         async def run():
-            server = await start()
+            server = await start_server()
             try:
                 return await send_raw(server, b"GET / HTTP/1.1\r\nHo")
             finally:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -8,7 +8,7 @@
 
 from wisteriapulley.logs import (
     BURST_S,
-    LINES_PER_S,
+    INFO_LINES_PER_S,
     BoundedHandler,
     LineBudget,
     configure,
@@ -33,22 +33,22 @@
     logger.setLevel(level)
 
 
-def lines(reader):
+def read_lines(reader):
     return [json.loads(line) for line in os.read(reader, 1 << 20).splitlines()]
 
 
 class TestLineBudget:
     def test_burst_then_rate(self):
         budget = LineBudget(10.0)
-        assert sum(budget.take(0.0) for _ in range(100)) == 10 * BURST_S
-        assert sum(budget.take(1.0) for _ in range(100)) == 10
+        assert sum(budget.spend(0.0) for _ in range(100)) == 10 * BURST_S
+        assert sum(budget.spend(1.0) for _ in range(100)) == 10
 
 
 class TestBoundedHandler:
     def test_line_has_node_and_fields(self, pipe, root):
         configure("n-1", descriptor=pipe[1])
         logging.info("placed", extra=fields("id-1", target="i-1"))
-        (line,) = lines(pipe[0])
+        (line,) = read_lines(pipe[0])
         assert (line["node"], line["message"]) == ("n-1", "placed")
         assert (line["request_id"], line["target"]) == ("id-1", "i-1")
         assert "revision" not in line
@@ -61,7 +61,7 @@
         root.setLevel("INFO")
         for _ in range(5000):
             logging.info("all is well")
-        assert handler.lost == 5000 - LINES_PER_S * BURST_S
+        assert handler.lost == 5000 - INFO_LINES_PER_S * BURST_S
         logging.warning("something failed")
         now[0] = 2.0
         logging.info("later")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,7 +5,7 @@
 from wisteriapulley.errors import ResultCode, SettingsError
 from wisteriapulley.settings import Address, load_settings
 
-GOOD = {
+VALID = {
     "node_id": "entry-1",
     "failure_domain": "palermo",
     "http_listen": "127.0.0.1:8080",
@@ -17,10 +17,10 @@
 class TestSettings:
     def load(self, tmp_path, role="entry", **changes):
         path = tmp_path / "settings.json"
-        path.write_text(json.dumps({**GOOD, **changes}))
+        path.write_text(json.dumps({**VALID, **changes}))
         return load_settings(str(path), role)
 
-    def fault(self, tmp_path, role="entry", **changes):
+    def load_error(self, tmp_path, role="entry", **changes):
         with pytest.raises(SettingsError) as caught:
             self.load(tmp_path, role, **changes)
         assert str(tmp_path) in caught.value.message
@@ -41,7 +41,7 @@
         ],
     )
     def test_error_names_the_key(self, tmp_path, changes, key):
-        error = self.fault(tmp_path, **changes)
+        error = self.load_error(tmp_path, **changes)
         assert error.code == ResultCode.SETTINGS_INVALID
         assert key in error.message
 
@@ -51,7 +51,7 @@
         assert caught.value.code == ResultCode.SETTINGS_UNREADABLE
 
     def test_clashing_addresses(self, tmp_path):
-        error = self.fault(
+        error = self.load_error(
             tmp_path,
             "sidecar",
             wire_listen="127.0.0.1:8080",
@@ -62,7 +62,7 @@
 
     def test_missing_data_folder(self, tmp_path):
         path = tmp_path / "settings.json"
-        control = {k: v for k, v in GOOD.items() if k != "control"}
+        control = {k: v for k, v in VALID.items() if k != "control"}
         control |= {
             "wire_listen": "127.0.0.1:7000",
             "data_folder": str(tmp_path / "no"),
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -16,7 +16,7 @@
     return text
 
 
-def play(tmp_path, scenario):
+def run_scenario(tmp_path, scenario):
     async def run():
         path = tmp_path / "settings"
         path.write_text("one")
@@ -38,16 +38,16 @@
             signal.raise_signal(signal.SIGHUP)
             assert await seen.get() == "two"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_change_without_a_signal_is_noticed(self, tmp_path, monkeypatch):
-        monkeypatch.setattr(settings_watch, "LOOK_S", 0.01)
+        monkeypatch.setattr(settings_watch, "POLL_INTERVAL_S", 0.01)
 
         async def scenario(path, watch, seen):
             path.write_text("changed")
             assert await seen.get() == "changed"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_file_that_cannot_be_read_changes_nothing(self, tmp_path):
         async def scenario(path, watch, seen):
@@ -58,4 +58,4 @@
             watch.reload()
             assert seen.empty()
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -12,7 +12,7 @@
 
 OWNER = "lettercraft"
 # Bounds a wait that a failed send would leave without end.
-BEGIN_S = 30
+RESPONSE_START_TIMEOUT_S = 30
 
 
 @pytest.fixture(scope="module")
@@ -100,7 +100,7 @@
                 asyncio.create_task(post(fleet, "/v1/completions", body, begun))
                 for _ in range(6)
             ]
-            async with asyncio.timeout(BEGIN_S):
+            async with asyncio.timeout(RESPONSE_START_TIMEOUT_S):
                 for _ in sends:
                     await begun.acquire()
             node.process.signal(signal.SIGTERM)
