--- a/src/wisteriapulley/__init__.py
+++ b/src/wisteriapulley/__init__.py
@@ -1,4 +1,4 @@
-"""Spread model weights in bursts to a fleet of serving instances."""
+"""Distribute model weights to serving instances and route requests to them."""
 
 from wisteriapulley.errors import ResultCode, WisteriapulleyError
 
--- a/src/wisteriapulley/errors.py
+++ b/src/wisteriapulley/errors.py
@@ -1,4 +1,4 @@
-"""Numbered result codes and the exceptions that carry them.
+"""Result codes and the exceptions that carry them.
 
 `docs/reference/result-codes.md` is generated from this module.
 """
@@ -8,7 +8,7 @@
 
 
 class ResultCode(IntEnum):
-    """Number of every outcome that a user can meet."""
+    """Number of every outcome that is reported to a user."""
 
     OK = 0
 
@@ -79,18 +79,18 @@
 
 
 class CodeEntry(NamedTuple):
-    """Row of the result code table.
+    """Entry of the result code table.
 
     Attributes
     ----------
     meaning : str
         What happened.
     action : str
-        What the reader does next.
+        What the user should do next.
     http_status : int
-        Status of an HTTP answer that carries the code.
+        Status of an HTTP response that carries the code.
     not_run : bool
-        Whether the code promises that the request did not run.
+        Whether the code guarantees that the request did not run.
     """
 
     meaning: str
@@ -99,23 +99,23 @@
     not_run: bool = False
 
 
-_RETRY = "Send it again after the stated Retry-After."
+_RETRY = "Retry after the time given in Retry-After."
 
 CODE_TABLE = {
-    ResultCode.OK: CodeEntry("The work succeeded.", "Nothing.", 200),
+    ResultCode.OK: CodeEntry("The operation succeeded.", "Nothing.", 200),
     ResultCode.SETTINGS_UNREADABLE: CodeEntry(
-        "The settings file is missing or is not JSON.", "Correct the named file."
+        "The settings file is missing or is not valid JSON.", "Correct the named file."
     ),
     ResultCode.SETTINGS_INVALID: CodeEntry(
         "A settings key is unknown, missing, or of the wrong type or unit.",
         "Correct the named key.",
     ),
     ResultCode.ADDRESS_CLASH: CodeEntry(
-        "Two settings name the same address, or it is taken.",
-        "Give each listener its own address.",
+        "Two settings use the same address, or the address is already in use.",
+        "Give each listener a different address.",
     ),
     ResultCode.DATA_FOLDER_MISSING: CodeEntry(
-        "The data folder does not exist or holds no identity.",
+        "The data folder does not exist or contains no identity.",
         "Run `wisteriapulley control init` or `join` once.",
     ),
     ResultCode.KEY_FILE_UNREADABLE: CodeEntry(
@@ -123,115 +123,123 @@
         "Install the file and make it readable by the daemon.",
     ),
     ResultCode.CATALOGUE_FILE_UNREADABLE: CodeEntry(
-        "A catalogue file is missing or is not JSON.", "Correct the named file.", 400
+        "A catalogue file is missing or is not valid JSON.",
+        "Correct the named file.",
+        400,
     ),
     ResultCode.CATALOGUE_ENTRY_INVALID: CodeEntry(
-        "A catalogue entry breaks a rule.", "Correct the named key.", 400
+        "A catalogue entry violates a validation rule.", "Correct the named key.", 400
     ),
     ResultCode.REVISION_CONFLICT: CodeEntry(
-        "The entry changed since the stated revision.",
-        "Read the accepted entry in the answer, then apply again.",
+        "The entry has changed since the base revision of the change.",
+        "Read the accepted entry in the response, then apply the change again.",
         409,
     ),
     ResultCode.CHANGE_ID_CONFLICT: CodeEntry(
-        "The change id was already used for other content.",
+        "The change id was already used for a different change.",
         "Use a new change id.",
         409,
     ),
     ResultCode.NOT_OWNER: CodeEntry(
-        "The entry belongs to another owner.", "Ask its owner.", 403
+        "The entry belongs to another owner.", "Ask the owner to change it.", 403
     ),
     ResultCode.UNAUTHORIZED: CodeEntry(
         "The bearer token is missing or unknown.", "Use an operator's token.", 401
     ),
     ResultCode.NO_QUORUM: CodeEntry(
-        "No majority answered; a change that was sent may or may not be accepted.",
-        "Resend with the same change id.",
+        "No majority responded; a submitted change may or may not be accepted.",
+        "Resend the change with the same change id.",
         503,
     ),
     ResultCode.STILL_PROPAGATING: CodeEntry(
-        "The change is accepted but not yet in force everywhere.",
+        "The change is accepted but not yet applied on all instances.",
         "Run `catalogue status` again.",
     ),
     ResultCode.PERMIT_DENIED: CodeEntry(
-        "The switch would exceed max_unavailable, or is not current.",
-        "None: the sidecar asks again.",
+        "The version switch would exceed max_unavailable, or the permit or version"
+        " is superseded.",
+        "None: the sidecar retries.",
         409,
     ),
     ResultCode.HEARTBEAT_INVALID: CodeEntry(
-        "A target's heartbeat lacks a field, or has one of another type or out of"
-        " bounds; it names no target.",
-        "Correct what announces the target; the message names the field.",
+        "A target's heartbeat lacks a field, or a field has the wrong type or is out"
+        " of range; the heartbeat is rejected and registers no target.",
+        "Correct the sender of the heartbeat; the message names the field.",
         400,
     ),
     ResultCode.FRAME_MALFORMED: CodeEntry(
-        "Bytes on a link are not a valid frame.", "Check what speaks to this port."
+        "Bytes received on a link are not a valid frame.",
+        "Check which client connects to this port.",
     ),
     ResultCode.FRAME_TOO_LARGE: CodeEntry(
-        "A frame is longer than the limit.", "Check what speaks to this port."
+        "A frame exceeds the maximum length.",
+        "Check which client connects to this port.",
     ),
     ResultCode.AUTHENTICATION_FAILED: CodeEntry(
-        "The peer does not hold the fleet key.", "Install the same fleet key."
+        "The peer does not have the fleet key.",
+        "Install the same fleet key on all instances.",
     ),
     ResultCode.LINK_CLOSED: CodeEntry(
-        "The link to the peer closed.", "None: it is replaced.", 503
+        "The link to the peer was closed.", "None: a new link is opened.", 503
     ),
     ResultCode.LINK_SILENT: CodeEntry(
-        "The peer sent no heartbeat in time.", "None: the link is replaced.", 503
+        "The peer sent no heartbeat in time.", "None: a new link is opened.", 503
     ),
     ResultCode.PROTOCOL_MISMATCH: CodeEntry(
-        "The peer speaks another protocol version.", "Upgrade the older instance."
+        "The peer uses another protocol version.", "Upgrade the older instance."
     ),
     ResultCode.LINK_TIMEOUT: CodeEntry(
-        "The peer did not answer in time.", "None: the sender decides.", 504
+        "The peer did not respond in time.", "None: the sender decides on a retry.", 504
     ),
     ResultCode.UNEXPECTED_MESSAGE: CodeEntry(
-        "The peer sent a message that this role does not take.",
+        "The peer sent a message that this role does not handle.",
         "Check the address in the settings.",
     ),
     ResultCode.REQUEST_MALFORMED: CodeEntry(
-        "The request is not valid.", "Correct it as the message says.", 400, True
+        "The request is not valid.", "Correct it as the message describes.", 400, True
     ),
     ResultCode.IDEMPOTENCY_KEY_MISSING: CodeEntry(
-        "The class is non-idempotent and no Idempotency-Key was sent.",
+        "The catalogue entry is not idempotent and no Idempotency-Key was sent.",
         "Send an Idempotency-Key.",
         400,
         True,
     ),
     ResultCode.IDEMPOTENCY_CONFLICT: CodeEntry(
-        "The Idempotency-Key was used with another body.",
+        "The Idempotency-Key was already used with a different body.",
         "Use a new key for a new request.",
         422,
         True,
     ),
     ResultCode.OVERLOADED: CodeEntry(
-        "The request cannot meet its deadline under the present load.",
+        "The request cannot meet its deadline under the current load.",
         _RETRY,
         429,
         True,
     ),
     ResultCode.NO_TARGET: CodeEntry(
-        "No target of the service is open.", _RETRY, 503, True
+        "No target of the service accepts requests.", _RETRY, 503, True
     ),
     ResultCode.DEADLINE_EXCEEDED: CodeEntry(
-        "The deadline passed.", "Send an idempotent request again.", 504
+        "The deadline passed.", "Retry the request if it is idempotent.", 504
     ),
     ResultCode.MAY_HAVE_RUN: CodeEntry(
-        "The target was lost; the request may have run and is never rerun.",
-        "Check its effect before using a new key.",
+        "The target failed or was lost; the request may have run and is not retried.",
+        "Check whether the request took effect before using a new key.",
         502,
     ),
     ResultCode.ANSWER_CUT: CodeEntry(
-        "The answer ended before its end mark.", "Discard what arrived.", 502
+        "The response ended before its end marker.",
+        "Discard the partial response.",
+        502,
     ),
     ResultCode.UNKNOWN_MODEL: CodeEntry(
-        "No catalogue entry has that name.", "Use a name of the catalogue.", 404, True
+        "No catalogue entry has that name.", "Use a name from the catalogue.", 404, True
     ),
     ResultCode.GATE_CLOSED: CodeEntry(
-        "The target is not open for requests.", _RETRY, 503, True
+        "The target does not accept requests.", _RETRY, 503, True
     ),
     ResultCode.REQUEST_EXPIRED: CodeEntry(
-        "The request's expiry passed before it ran.", "Use a new key.", 410, True
+        "The request expired before it ran.", "Use a new key.", 410, True
     ),
     ResultCode.CLAIM_UNAVAILABLE: CodeEntry(
         "The claim could not be committed; the request did not run.",
@@ -240,94 +248,98 @@
         True,
     ),
     ResultCode.IN_PROGRESS: CodeEntry(
-        "An earlier send of this key is still running.", _RETRY, 409
+        "An earlier request with this key is still running.", _RETRY, 409
     ),
     ResultCode.BODY_TOO_LARGE: CodeEntry(
         "The body is larger than the limit.", "Send a smaller body.", 413, True
     ),
     ResultCode.TARGET_FAILED: CodeEntry(
-        "The target answered with an error of its own.", "See the body.", 502
+        "The target itself returned an error.", "See the response body.", 502
     ),
     ResultCode.ATTEMPT_TOMBSTONED: CodeEntry(
-        "The attempt was resolved as not run and may no longer run.",
+        "The attempt was resolved as not run and can no longer run.",
         _RETRY,
         503,
         True,
     ),
-    ResultCode.LEAVING: CodeEntry("The instance is leaving.", _RETRY, 503, True),
+    ResultCode.LEAVING: CodeEntry("The instance is shutting down.", _RETRY, 503, True),
     ResultCode.KEY_UNRESOLVED: CodeEntry(
-        "This send did not run, but whether an earlier send of the same key ran is"
-        " not known.",
-        "Send it again with the same key after the stated Retry-After.",
+        "This attempt did not run, but it is unknown whether an earlier attempt with"
+        " the same key ran.",
+        "Retry with the same key after the time given in Retry-After.",
         503,
     ),
     ResultCode.NO_ROUTE: CodeEntry(
-        "No route of the routing table begins the request's host and path.",
-        "Ask for a route that is in force.",
+        "No route of the routing table matches the request's host and path prefix.",
+        "Use a host and path of the current routing table.",
         404,
         True,
     ),
     ResultCode.QUARANTINED: CodeEntry(
-        "Targets ended each time that they ran this request, so it is sent no more.",
-        "Change the request; find its fingerprint in the entries' logs.",
+        "Targets crashed each time they ran this request, so it is no longer sent.",
+        "Change the request; its fingerprint is in the logs of the entries.",
         503,
         True,
     ),
     ResultCode.MANIFEST_INVALID: CodeEntry(
         "The manifest is malformed or does not match its digest.",
-        "Build and publish it again.",
+        "Build and publish the manifest again.",
     ),
     ResultCode.CHUNK_CORRUPTED: CodeEntry(
-        "A chunk does not match its digest.", "None: it is fetched elsewhere."
+        "A chunk does not match its digest.", "None: it is fetched from another source."
     ),
     ResultCode.SOURCE_UNAVAILABLE: CodeEntry(
-        "The origin or weight store refused or failed.", "Check the source."
+        "The origin or weight store rejected the request or failed.",
+        "Check the origin or weight store.",
     ),
     ResultCode.SOURCE_CHANGED: CodeEntry(
-        "The origin no longer holds the manifest's bytes.",
-        "Publish the bytes, or name the new digest in the catalogue.",
+        "The origin no longer serves the bytes that the manifest describes.",
+        "Publish these bytes, or set the new digest in the catalogue.",
     ),
     ResultCode.ENGINE_LOAD_FAILED: CodeEntry(
         "The engine failed to load the version.", "Read the engine's log."
     ),
     ResultCode.ENGINE_WRONG_DIGEST: CodeEntry(
-        "The engine reports another version than ordered.", "None: it is reordered."
+        "The engine reports a different version than requested.",
+        "None: the load is requested again.",
     ),
     ResultCode.ENGINE_FENCED: CodeEntry(
-        "The engine refused an old fencing number.", "None: a new permit is asked."
+        "The engine rejected a stale fencing number.",
+        "None: a new permit is requested.",
     ),
     ResultCode.COPY_SUPERSEDED: CodeEntry(
-        "The catalogue moved on while the copy was in flight.", "Nothing."
+        "The catalogue changed to another version during the download.", "Nothing."
     ),
     ResultCode.CHUNK_STORE_FULL: CodeEntry(
-        "The sidecar's chunk store has no room for the version.",
-        "Raise `chunk_store_bytes`, or free the scratch folder's disk.",
+        "The sidecar's chunk store has not enough free space for the version.",
+        "Raise `chunk_store_bytes`, or free space on the disk of the scratch folder.",
     ),
     ResultCode.LOG_DAMAGED: CodeEntry(
-        "The log is damaged before its tail.",
-        "Replace the disk and rejoin: docs/operators/lost-disk.md.",
+        "The log is corrupted before its last records.",
+        "Replace the disk and rejoin the cluster: docs/operators/lost-disk.md.",
     ),
     ResultCode.DISK_FULL: CodeEntry(
-        "The data disk is full; the instance goes on without a vote.",
-        "Free space: it takes part again by itself.",
+        "The data disk is full; the instance keeps running without voting.",
+        "Free disk space: the instance then votes again automatically.",
     ),
     ResultCode.FSYNC_FAILED: CodeEntry(
-        "fsync failed; the disk's content is unknown.", "Replace the disk and rejoin."
+        "fsync failed; the content of the disk is unknown.",
+        "Replace the disk and rejoin the cluster.",
     ),
     ResultCode.IDENTITY_MISMATCH: CodeEntry(
         "The data folder belongs to another instance or fleet.",
         "Point the settings at the right folder.",
     ),
     ResultCode.FOLDER_LOCKED: CodeEntry(
-        "Another process is in the data folder.", "Stop the other process."
+        "Another process has locked the data folder.", "Stop the other process."
     ),
     ResultCode.ALREADY_FOUNDED: CodeEntry(
-        "`control init` met a peer of a cluster that is founded already.",
+        "`control init` found a peer whose cluster is already initialized.",
         "Run `wisteriapulley control join`.",
         409,
     ),
     ResultCode.MEMBER_UNKNOWN: CodeEntry(
-        "No control instance of that name takes part.",
+        "No control instance of that name is a member of the cluster.",
         "See `wisteriapulley control members`.",
         404,
     ),
@@ -335,16 +347,16 @@
 
 
 class WisteriapulleyError(Exception):
-    """Error with a result code.
+    """Base class of errors with a result code.
 
     Parameters
     ----------
     code : ResultCode
-        Number of the outcome.
+        Result code of the error.
     message : str
-        What was expected, what came, and what to do next.
+        What was expected, what was received, and what to do next.
     retry_after_ms : int, default=0
-        When to come back, in milliseconds; 0 when coming back does not help.
+        Delay before a retry, in milliseconds; 0 if a retry does not help.
     """
 
     def __init__(self, code: ResultCode, message: str, retry_after_ms: int = 0):
@@ -358,28 +370,28 @@
 
 
 class SettingsError(WisteriapulleyError):
-    """Bad settings."""
+    """Settings are unreadable or invalid."""
 
 
 class CatalogueError(WisteriapulleyError):
-    """Bad or refused catalogue change."""
+    """Catalogue change is invalid or rejected."""
 
 
 class WireError(WisteriapulleyError):
-    """Failure of a link between two processes."""
+    """Link between two processes failed."""
 
 
 class RequestError(WisteriapulleyError):
-    """Request that gets an error as its answer."""
+    """Request is answered with an error."""
 
 
 class WeightsError(WisteriapulleyError):
-    """Failure to copy or load weights."""
+    """Downloading or loading weights failed."""
 
 
 class StorageError(WisteriapulleyError):
-    """Failure of the data folder."""
+    """Data folder is unusable or an operation on it failed."""
 
 
 class DiskFullError(StorageError):
-    """A write met a full disk; what was synced before it is whole."""
+    """Write failed because the disk is full; data synced before it is intact."""
--- a/src/wisteriapulley/http_server.py
+++ b/src/wisteriapulley/http_server.py
@@ -1,4 +1,4 @@
-"""The small HTTP server that every daemon shows: health, metrics, routes."""
+"""HTTP server of a daemon: health checks, metrics and the daemon's own routes."""
 
 import asyncio
 import time
@@ -18,24 +18,28 @@
 from wisteriapulley.settings import Address
 
 MAX_BODY_BYTES = 8 << 20
-# A new connection has this long to bring a request, byte by byte or not.
+# Time in which a new connection has to complete its first request, however slowly
+# its bytes arrive.
 FIRST_REQUEST_TIMEOUT_S = 20.0
-# One that brought some may rest this long, as balancers let theirs.
+# Idle time of a connection that has served a request; load balancers keep idle
+# connections open for a similar time.
 KEEP_ALIVE_TIMEOUT_S = 600.0
 SWEEP_INTERVAL_S = 1.0
 
 
 class HttpServer:
-    """Health, metrics and a daemon's own routes at one address.
+    """Serve health checks, metrics and a daemon's own routes at one address.
 
     Parameters
     ----------
     metrics : Metrics
-        Shown at ``/metrics``.
+        Served at ``/metrics``.
     is_ready : callable
-        Answers ``/health/ready``.
+        Returns whether ``/health/ready`` reports ready.
     routes : iterable of aiohttp.web.RouteDef
-        The daemon's own.
+        Additional routes of the daemon.
+    max_body_bytes : int
+        Maximum size of a request body.
     """
 
     def __init__(
@@ -66,7 +70,13 @@
         self.address: Address | None = None
 
     async def start(self, address: Address) -> None:
-        """Listen at `address`."""
+        """Listen at `address`.
+
+        Raises
+        ------
+        SettingsError
+            ADDRESS_CLASH: the address cannot be bound.
+        """
         self.sweep_task = asyncio.get_running_loop().create_task(
             self.close_idle_connections()
         )
@@ -91,10 +101,10 @@
             await self.runner.cleanup()
 
     async def close_idle_connections(self) -> None:
-        """Close connections that bring no request for too long.
+        """Close connections that stay without a request for too long.
 
-        aiohttp waits for ever for the first header line of a connection: callers
-        that send it byte by byte would hold sockets and memory without end.
+        aiohttp has no timeout for the first header line of a connection, so callers
+        that send it byte by byte would occupy sockets and memory indefinitely.
         """
         idle_since_s: dict[object, float] = {}
         while True:
@@ -117,7 +127,7 @@
     async def track_connection(
         self, request: web.Request, handler
     ) -> web.StreamResponse:
-        """Know which connections have a request in progress."""
+        """Record which connections have a request in progress."""
         protocol = request.protocol
         self.active_connections.add(protocol)
         try:
@@ -127,24 +137,24 @@
             self.served_connections.add(protocol)
 
     async def live(self, request: web.Request) -> web.Response:
-        """Answer that the loop runs."""
+        """Report that the event loop is running."""
         return web.Response(text="live\n")
 
     async def ready(self, request: web.Request) -> web.Response:
-        """Answer whether work may come."""
+        """Report whether the daemon accepts requests."""
         if self.is_ready():
             return web.Response(text="ready\n")
         return web.Response(status=503, text="not ready\n")
 
     async def show_metrics(self, request: web.Request) -> web.Response:
-        """Show the metrics in the text format."""
+        """Return the metrics in the Prometheus text format."""
         accepts = request.headers.getall("Accept", [])
         content, headers = render(self.metrics.registry, accepts)
         return web.Response(body=content, headers=headers)
 
 
 class ErrorFields(msgspec.Struct, frozen=True):
-    """What an error answer says."""
+    """Fields of an error response."""
 
     code: int
     name: str
@@ -154,13 +164,13 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Body of an error answer."""
+    """Body of an error response."""
 
     error: ErrorFields
 
 
 def error_body(error: WisteriapulleyError) -> bytes:
-    """Return the JSON of an error."""
+    """Return an error as JSON."""
     fields = ErrorFields(
         int(error.code),
         error.code.name,
@@ -172,7 +182,7 @@
 
 
 def error_response(error: WisteriapulleyError) -> web.Response:
-    """Turn an error into an HTTP answer with its code, at once."""
+    """Return the HTTP response for an error, with its result code."""
     headers = {"X-Result-Code": str(int(error.code))}
     if error.retry_after_ms:
         headers["Retry-After"] = str(max(1, round(error.retry_after_ms / 1000)))
@@ -186,7 +196,7 @@
 
 @web.middleware
 async def error_middleware(request: web.Request, handler) -> web.StreamResponse:
-    """Answer coded errors as JSON."""
+    """Turn errors of handlers into JSON responses with a result code."""
     try:
         return await handler(request)
     except WisteriapulleyError as error:
--- a/src/wisteriapulley/logs.py
+++ b/src/wisteriapulley/logs.py
@@ -1,9 +1,9 @@
-"""Structured logs: one JSON object a line, on standard output.
+"""Structured logs: one JSON object per line, on standard output.
 
-Load: a fleet in trouble logs most when it has least time. Harm prevented: a log
-that is not read fast enough must not stop a process, nor take its processor time
-from requests. So lines have a budget, a line that can't be written at once is
-dropped, and what was dropped is counted and told.
+A fleet with failures logs most while it is most loaded. Logging must not block a
+process whose log is read too slowly, nor take processor time from requests.
+Therefore lines are rate-limited, a line that cannot be written without blocking is
+dropped, and dropped lines are counted and reported.
 """
 
 import logging
@@ -15,25 +15,25 @@
 
 LINE_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 STDOUT = 1
-# Lines a second of one process, of what tells that all goes well. An entry of
-# the peak serves 12 requests a second with three lines each; a line costs 40 us.
+# Lines per second of one process below WARNING. At peak load an entry serves 12
+# requests per second and writes three lines for each; a line costs 40 us.
 INFO_LINES_PER_S = 100.0
-# Warnings and errors explain failures, so they have a budget of their own.
+# Warnings and errors explain failures, so they have a separate budget.
 WARNING_LINES_PER_S = 100.0
 BURST_S = 3.0
-# What was dropped is told this often.
+# Minimum time between two reports of dropped lines.
 DROP_REPORT_INTERVAL_S = 1.0
-# The rest of a line of which the reader took only a part.
+# Limit of the unwritten rest of a line that was written only in part.
 MAX_PENDING_BYTES = 1 << 16
 
 
 class LineBudget:
-    """Lines that may be written: a bucket that fills at a steady rate.
+    """Token bucket that limits the rate of log lines.
 
     Parameters
     ----------
     rate : float
-        Lines a second; the bucket holds `BURST_S` seconds of them.
+        Lines per second; the capacity is `BURST_S` seconds of this rate.
     """
 
     def __init__(self, rate: float):
@@ -42,7 +42,7 @@
         self.refilled_s = 0.0
 
     def spend(self, now_s: float) -> bool:
-        """Take one line, if there is one left."""
+        """Spend one token; return whether one was available."""
         gained = (now_s - self.refilled_s) * self.rate
         self.available = min(self.rate * BURST_S, self.available + max(0.0, gained))
         self.refilled_s = now_s
@@ -53,21 +53,21 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines within a budget, and never waits for their reader.
+    """Logging handler with a rate limit that never blocks.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; made non-blocking.
+        File descriptor to write to; set to non-blocking mode.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
 
     Attributes
     ----------
     dropped : Counter
-        Lines not written since this was last told, by message.
+        Number of lines dropped since the last report, by message.
     lost : int
-        Lines not written since the start.
+        Number of lines dropped since the start.
     """
 
     def __init__(self, descriptor: int = STDOUT, clock=time.monotonic):
@@ -94,7 +94,7 @@
             self.report_dropped(now_s)
 
     def write_record(self, record: logging.LogRecord) -> bool:
-        """Format and write a record; tell whether it was taken."""
+        """Format and write a record; return whether it was written."""
         try:
             line = self.format(record)
         except Exception:
@@ -103,7 +103,7 @@
         return self.write(line.encode() + b"\n")
 
     def report_dropped(self, now_s: float) -> None:
-        """Write what was dropped."""
+        """Log the number of dropped lines by message."""
         self.reported_s = now_s
         counts, self.dropped = dict(self.dropped), Counter()
         record = logging.LogRecord(
@@ -114,7 +114,10 @@
             self.dropped.update(counts)
 
     def write(self, data: bytes) -> bool:
-        """Write bytes without waiting; a line that was begun is finished first."""
+        """Write a line without blocking, after the rest of the previous line.
+
+        Returns False, and writes nothing of this line, if the reader is too slow.
+        """
         if self.pending and not self.flush_pending():
             return False
         written = self.write_some(data)
@@ -124,13 +127,13 @@
         return True
 
     def flush_pending(self) -> bool:
-        """Write the rest of a line; tell whether all of it is out."""
+        """Write the pending rest of a line; return whether nothing is left."""
         written = self.write_some(self.pending)
         self.pending = self.pending[written:]
         return not self.pending
 
     def write_some(self, data: bytes) -> int:
-        """Write what the reader takes now."""
+        """Write what fits without blocking; return the number of bytes written."""
         try:
             return os.write(self.descriptor, data)
         except (BlockingIOError, BrokenPipeError, InterruptedError):
@@ -140,34 +143,34 @@
 def configure(
     node_id: str, level: str = "INFO", descriptor: int = STDOUT
 ) -> BoundedHandler:
-    """Send every log record to standard output as JSON.
+    """Write all log records to standard output as JSON.
 
     Parameters
     ----------
     node_id : str
-        Stands on each line as ``node``.
+        Value of the field ``node`` of each line.
     level : str, default="INFO"
         Name of the lowest level that is written.
     descriptor : int
-        Where to write.
+        File descriptor to write to.
 
     Returns
     -------
     BoundedHandler
-        Counts the lines that were dropped.
+        The installed handler, which counts the dropped lines.
     """
     handler = BoundedHandler(descriptor)
     handler.setFormatter(JsonFormatter(LINE_FORMAT, static_fields={"node": node_id}))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
-    # It logs five lines for each edge of a chart.
+    # The library logs five lines for each state transition.
     logging.getLogger("transitions").setLevel(logging.WARNING)
     return handler
 
 
 def lines_lost() -> int:
-    """Return how many lines this process has dropped."""
+    """Return the number of log lines that this process has dropped."""
     handlers = logging.getLogger().handlers
     return sum(getattr(handler, "lost", 0) for handler in handlers)
 
@@ -175,12 +178,12 @@
 def fields(
     request_id: str = "", revision: int = 0, code: int = 0, **more: object
 ) -> dict[str, object]:
-    """Build the ``extra`` of a record: request id, revision and result code.
+    """Return the ``extra`` of a log record: request id, revision and result code.
 
     Returns
     -------
     dict
-        Those of the three that say something, and the keys of `more`.
+        Those of the three that are set, and the items of `more`.
     """
     named = {"request_id": request_id, "revision": revision, "code": int(code)}
     return {name: value for name, value in named.items() if value} | more
--- a/src/wisteriapulley/settings.py
+++ b/src/wisteriapulley/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons: JSON files checked into one typed object."""
+"""Settings of the daemons: JSON files, decoded into typed objects and validated."""
 
 import ipaddress
 from pathlib import Path
@@ -11,14 +11,14 @@
 
 
 class Address(msgspec.Struct, frozen=True):
-    """IP number and port.
+    """IP address and port.
 
     Attributes
     ----------
     host : str
-        IPv4 or IPv6 number; names are not resolved.
+        IPv4 or IPv6 address; host names are not resolved.
     port : int
-        0 lets the system choose.
+        Port number; 0 lets the operating system choose one.
     """
 
     host: str
@@ -31,12 +31,12 @@
         Raises
         ------
         ValueError
-            The text is not an IP number and a port.
+            The text is not an IP address and a port.
         """
         host, _, port = text.rpartition(":")
         ipaddress.ip_address(host.strip("[]"))
         if not 0 <= int(port) <= 65535:
-            raise ValueError(f"port {port} is not within 0 to 65535")
+            raise ValueError(f"port {port} is not in the range 0 to 65535")
         return cls(host.strip("[]"), int(port))
 
     def __str__(self) -> str:
@@ -51,24 +51,24 @@
 
 
 class NodeSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings that every daemon has.
+    """Settings common to all daemons.
 
     Attributes
     ----------
     node_id : str
         Name of this instance, unique in the fleet.
     failure_domain : str
-        Where it runs.
+        Failure domain in which this instance runs.
     http_listen : Address
-        Callers, operators, metrics and health.
+        Address of the HTTP server for callers, operators, metrics and health.
     fleet_key_file : str
-        Path of the key that all instances share.
+        Path of the file with the key that all instances share.
     heartbeat_ms : int
         Milliseconds between heartbeats on each link.
     silence_ms : int
-        Milliseconds without a frame after which a link is replaced.
+        Milliseconds without a frame after which a link is closed and reopened.
     drain_ms : int
-        Milliseconds that a stopping daemon waits for requests in progress.
+        Milliseconds that a stopping daemon waits for in-flight requests.
     """
 
     node_id: str
@@ -89,11 +89,12 @@
     Attributes
     ----------
     wire_listen : Address
-        Links of other instances.
+        Address for links from other instances.
     data_folder : str
-        Durable state; made by ``control init`` or ``control join``.
+        Folder of the durable state; created by ``control init`` or
+        ``control join``.
     operators_file : str
-        JSON object from bearer token to owner.
+        JSON file that maps bearer tokens to owners.
     peers : tuple of Peer
         The other control instances.
     election_ms : int
@@ -101,25 +102,28 @@
     lease_ms : int
         Leader lease, in milliseconds; shorter than `election_ms`.
     group_commit : bool
-        Whether what came since the last sync shares one; off only to measure.
+        Whether records received since the last sync share one sync; disable it
+        only for measurements.
     snapshot_bytes : int
-        Bytes of log after which a snapshot replaces it.
+        Size of the log, in bytes, at which a snapshot replaces it.
     member_lease_ms : int
-        How long a member stays after its link closed, in milliseconds.
+        Milliseconds that a member is kept after its link was closed.
     owner_grace_ms : int
-        How long the members of an unreachable control instance stay.
+        Milliseconds that the members of an unreachable control instance are kept.
     seeds : tuple of Address
-        Wire addresses of control instances, in place of `peers`. Instances
-        found through seeds have their host as node id.
+        Wire addresses of control instances, as an alternative to `peers`.
+        Instances found through seeds use their host as node id.
     found_with_seeds : bool
-        Whether an empty data folder founds the cluster together with the
-        other seeds; only at the first start of the whole system.
+        Whether an instance with an empty data folder initializes the cluster
+        together with the other seeds; only for the first start of the whole
+        system.
     voters : int
-        How many instances vote; 0 for all.
+        Number of voting instances; 0 for all.
     failure_domain_regions : dict
-        Region of each failure domain; empty where each is a region by itself.
+        Region of each failure domain; if empty, each failure domain is its own
+        region.
     target_lease_ms : int
-        How long a target stays that announces itself no more, in milliseconds.
+        Milliseconds that a target is kept after its last announcement.
     """
 
     wire_listen: Address
@@ -150,9 +154,9 @@
     control : tuple of Address
         Wire addresses of control instances.
     max_body_bytes : int
-        Largest request body.
+        Maximum size of a request body, in bytes.
     links_per_service : int
-        Targets of one service that this entry keeps links to.
+        Number of targets of one service to which this entry keeps links.
     """
 
     control: tuple[Address, ...]
@@ -168,31 +172,34 @@
     Attributes
     ----------
     service : str
-        What its target serves; catalogue entries name it.
+        Service of the target, as named in catalogue entries.
     kind : str
-        ``engine`` for a model engine, ``plain`` for a plain service.
+        ``engine`` for a model engine, ``plain`` for any other service.
     target_url : str
         Base URL of the target.
     fences : bool
-        Whether the engine refuses an order with an old fencing number.
+        Whether the engine rejects orders with a stale fencing number.
     origin_url, store_url : str
         Base URLs of the origin and of the rate-limited weight store; empty
-        when there is none.
+        if there is none.
     link_bytes_per_s : int
-        Rate of this instance's link, up and down together; 0 for no limit.
+        Bandwidth of this instance's link, upload and download combined; 0 for no
+        limit.
     origin_bytes_per_s : int
-        Share of the origin's link that this sidecar may take; 0 for no limit.
+        Bandwidth of the origin's link that this sidecar may use; 0 for no limit.
     wire_advertise : Address
-        Where others reach `wire_listen`, when that differs (a relay or
-        translated address between them); by default `wire_listen` itself.
+        Address at which other instances reach `wire_listen`, if it differs
+        (behind a relay or address translation); by default `wire_listen` itself.
     neighbours : int
-        Links that this sidecar opens to others; others open as many to it.
+        Number of links that this sidecar opens to other sidecars; they open the same
+        number of links to it.
     patience_ms : int
-        Milliseconds without news of a chunk before the next rank asks the origin.
+        Milliseconds without progress of a chunk before the next rank asks the
+        origin.
     scratch_folder : str
-        Chunks are kept here; empty keeps them in memory.
+        Folder in which chunks are stored; if empty, they are kept in memory.
     chunk_store_bytes : int
-        Most bytes of chunks kept; 0 for no limit.
+        Maximum size of the stored chunks, in bytes; 0 for no limit.
     """
 
     wire_listen: Address
@@ -220,14 +227,14 @@
 
 
 def load_settings(path: str, role: str) -> NodeSettings:
-    """Read and check the settings file of one daemon.
+    """Read and validate the settings file of one daemon.
 
     Parameters
     ----------
     path : str
-        The JSON file.
+        Path of the JSON file.
     role : {'control', 'entry', 'sidecar'}
-        Whose settings they are.
+        Role of the daemon.
 
     Returns
     -------
@@ -237,7 +244,7 @@
     Raises
     ------
     SettingsError
-        The file or one of its keys is wrong; the message names both.
+        The file or one of its keys is invalid; the message names both.
     """
     try:
         raw = Path(path).read_bytes()
@@ -255,7 +262,7 @@
         tree = msgspec.json.decode(raw)
     except msgspec.DecodeError as error:
         raise SettingsError(
-            ResultCode.SETTINGS_UNREADABLE, f"{path}: expected JSON: {error}"
+            ResultCode.SETTINGS_UNREADABLE, f"{path}: expected valid JSON: {error}"
         ) from error
     try:
         return msgspec.convert(expand_addresses(tree), ROLES[role], strict=True)
@@ -274,7 +281,7 @@
 
 
 def expand_addresses(tree: object, key: str = "") -> object:
-    """Expand ``ip:port`` texts of known keys into address objects."""
+    """Replace ``ip:port`` texts under address keys by address objects."""
     if isinstance(tree, dict):
         return {name: expand_addresses(value, name) for name, value in tree.items()}
     if isinstance(tree, list):
@@ -285,19 +292,25 @@
 
 
 def parse_address(text: str, key: str) -> dict[str, object]:
-    """Parse one address or say which key holds it."""
+    """Parse one address.
+
+    Raises
+    ------
+    ValueError
+        The text is not an address; the message names the key.
+    """
     try:
         address = Address.from_text(text)
     except ValueError as error:
         raise ValueError(
-            f"expected an IP number and port such as 127.0.0.1:7000, got {text!r}"
+            f"expected an IP address and port such as 127.0.0.1:7000, got {text!r}"
             f" - at `$.{key}` ({error})"
         ) from error
     return {"host": address.host, "port": address.port}
 
 
 def check(settings: NodeSettings, path: str) -> NodeSettings:
-    """Check what no single key shows: clashes, ranges and folders."""
+    """Validate ranges, address clashes and the rules of the role."""
     non_positive = [
         name
         for name in settings.__struct_fields__
@@ -311,7 +324,7 @@
     if settings.silence_ms < 2 * settings.heartbeat_ms:
         raise SettingsError(
             ResultCode.SETTINGS_INVALID,
-            f"{path}: expected at least two heartbeats ({2 * settings.heartbeat_ms}),"
+            f"{path}: expected at least 2 * heartbeat_ms ({2 * settings.heartbeat_ms}),"
             f" got {settings.silence_ms} - at `$.silence_ms`",
         )
     check_address_clash(settings, path)
@@ -320,18 +333,18 @@
 
 
 def check_address_clash(settings: NodeSettings, path: str) -> None:
-    """Refuse one address for two listeners."""
+    """Raise an error if two listeners have the same address."""
     wire = getattr(settings, "wire_listen", None)
     if wire is not None and wire == settings.http_listen and wire.port:
         raise SettingsError(
             ResultCode.ADDRESS_CLASH,
-            f"{path}: {wire} stands at both `$.wire_listen` and `$.http_listen`;"
-            " give each its own port",
+            f"{path}: {wire} is set for both `$.wire_listen` and `$.http_listen`;"
+            " use a different port for each",
         )
 
 
 def check_role(settings: NodeSettings, path: str) -> None:
-    """Check what only one role has."""
+    """Validate the settings that are specific to a role."""
     if isinstance(settings, SidecarSettings) and settings.kind not in (
         "engine",
         "plain",
@@ -345,13 +358,13 @@
         if settings.lease_ms >= settings.election_ms:
             raise SettingsError(
                 ResultCode.SETTINGS_INVALID,
-                f"{path}: expected less than election_ms ({settings.election_ms}),"
+                f"{path}: expected a value below election_ms ({settings.election_ms}),"
                 f" got {settings.lease_ms} - at `$.lease_ms`",
             )
         if not Path(settings.data_folder).is_dir():
             raise SettingsError(
                 ResultCode.DATA_FOLDER_MISSING,
-                f"{path}: expected a folder, got {settings.data_folder!r}"
+                f"{path}: expected an existing folder, got {settings.data_folder!r}"
                 " - at `$.data_folder`; run `wisteriapulley control init`",
             )
 
@@ -380,12 +393,14 @@
 
 
 def load_operators(path: str) -> dict[str, str]:
-    """Read the operators file: bearer token to owner; nobody without a file.
+    """Read the operators file, which maps bearer tokens to owners.
+
+    Without a path, there are no operators.
 
     Raises
     ------
     SettingsError
-        The file is missing or not an object of texts.
+        The file is missing or is not a JSON object with string values.
     """
     if not path:
         return {}
@@ -399,5 +414,5 @@
     except msgspec.DecodeError as error:
         raise SettingsError(
             ResultCode.KEY_FILE_UNREADABLE,
-            f"{path}: expected a JSON object from token to owner: {error}",
+            f"{path}: expected a JSON object that maps tokens to owners: {error}",
         ) from error
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""Bad input at the HTTP edge: raw bytes in, a clear answer out."""
+"""Invalid raw HTTP input gets a well-defined error response."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 
 
 async def start_server(budget=None):
-    """Serve what an entry would parse; answer what it made of it."""
+    """Start a server that parses requests as an entry does and returns the result."""
     from aiohttp import web
 
     budget = budget or BodyBudget()
@@ -67,7 +67,7 @@
 
 
 def post_raw(data, **more):
-    """Return status and body of the answer to raw bytes."""
+    """Send raw bytes to a new server; return status and body of the response."""
 
     async def run():
         server = await start_server(**more)
@@ -109,24 +109,25 @@
             (http("/services/none/x", b"", ACCOUNT), 408),
         ],
     )
-    def test_each_has_its_code_and_did_not_run(self, data, code):
+    def test_error_has_its_code_and_reports_not_run(self, data, code):
         _, body = post_raw(data)
         error = json.loads(body)["error"]
         assert (error["code"], error["not_run"]) == (code, True)
 
-    def test_no_http_is_answered_and_closed(self):
+    def test_bytes_that_are_not_http_get_400(self):
         assert post_raw(b"\x16\x03\x01\x02\x00garbage\r\n\r\n")[0] == 400
 
-    def test_engine_paths_are_not_for_callers(self):
-        # Guards: /services/<model>/control/load reached the engine.
+    def test_engine_paths_are_not_reachable_for_callers(self):
+        # Callers must not reach the engine's own API through
+        # /services/<model>/control/load.
         _, body = post_raw(http("/services/drafts/control/load", b"{}", ACCOUNT))
         assert json.loads(body)["error"]["code"] == ResultCode.UNKNOWN_MODEL
 
-    def test_path_goes_on_as_it_was_encoded(self):
+    def test_path_encoding_is_preserved(self):
         _, body = post_raw(http("/services/titles/a%2Fb%3Fc?q=%20", b"", ACCOUNT))
         assert json.loads(body)[0] == "/a%2Fb%3Fc?q=%20"
 
-    def test_bodies_beyond_the_budget_are_refused(self):
+    def test_bodies_over_the_budget_are_refused(self):
         _, body = post_raw(
             http("/services/titles/x", b"x" * 100, ACCOUNT), budget=BodyBudget(50)
         )
@@ -139,7 +140,7 @@
         _, body = post_raw(data)
         assert json.loads(body)["error"]["code"] == ResultCode.REQUEST_MALFORMED
 
-    def test_slow_headers_are_cut_off(self, monkeypatch):
+    def test_connection_with_slow_headers_is_closed(self, monkeypatch):
         monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
         monkeypatch.setattr(http_server, "FIRST_REQUEST_TIMEOUT_S", 0.05)
 
@@ -152,7 +153,7 @@
 
         assert asyncio.run(run()) == b""
 
-    def test_invented_accounts_do_not_grow_the_metrics(self):
+    def test_unknown_accounts_do_not_add_metric_labels(self):
         measured = EntryMetrics(Metrics("n", "entry"), max_accounts=2)
         for number in range(50):
             measured.record_response(f"refused-{number}", "c", 403, 0.1)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs that never wait and never flood."""
+"""Logging never blocks and is rate-limited."""
 
 import json
 import logging
@@ -53,14 +53,14 @@
         assert (line["request_id"], line["target"]) == ("id-1", "i-1")
         assert "revision" not in line
 
-    def test_flood_is_bounded_and_told(self, pipe, root):
+    def test_line_rate_is_limited_and_dropped_lines_are_reported(self, pipe, root):
         now = [0.0]
         handler = BoundedHandler(pipe[1], clock=lambda: now[0])
         handler.setFormatter(logging.Formatter("%(message)s"))
         root.handlers[:] = [handler]
         root.setLevel("INFO")
         for _ in range(5000):
-            logging.info("all is well")
+            logging.info("routine message")
         assert handler.lost == 5000 - INFO_LINES_PER_S * BURST_S
         logging.warning("something failed")
         now[0] = 2.0
@@ -70,7 +70,7 @@
         assert text[-1] == "log lines dropped"
         assert handler.dropped == {}
 
-    def test_full_pipe_loses_lines_and_does_not_wait(self, pipe, root):
+    def test_full_pipe_drops_lines_without_blocking(self, pipe, root):
         handler = BoundedHandler(pipe[1])
         handler.setFormatter(logging.Formatter("%(message)s"))
         root.handlers[:] = [handler]
@@ -81,5 +81,5 @@
         logging.warning("after")
         rest = os.read(pipe[0], 1 << 20)
         whole = (first + rest).decode().splitlines()
-        # A line that was cut by the full pipe is finished before the next.
+        # A line that was truncated by the full pipe is completed before the next one.
         assert set(map(len, whole)) <= {4000, len("after"), len("log lines dropped")}
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -26,7 +26,7 @@
         assert str(tmp_path) in caught.value.message
         return caught.value
 
-    def test_good(self, tmp_path):
+    def test_valid_settings(self, tmp_path):
         settings = self.load(tmp_path)
         assert settings.control == (Address("127.0.0.1", 7000),)
 
@@ -50,7 +50,7 @@
             load_settings(str(tmp_path / "none.json"), "entry")
         assert caught.value.code == ResultCode.SETTINGS_UNREADABLE
 
-    def test_clashing_addresses(self, tmp_path):
+    def test_same_address_for_two_listeners(self, tmp_path):
         error = self.load_error(
             tmp_path,
             "sidecar",
