--- a/src/wisteriapulley/cli.py
+++ b/src/wisteriapulley/cli.py
@@ -17,7 +17,8 @@
 EXIT_CONFLICT = 4
 EXIT_NO_QUORUM = 5
 EXIT_STILL_PROPAGATING = 6
-# A script tells by these whether to resend, to look, or to correct a file.
+# Exit statuses that let a script decide whether to resend, to check the status or to
+# correct a file.
 EXIT_BY_CODE = {
     ResultCode.REVISION_CONFLICT: EXIT_CONFLICT,
     ResultCode.CHANGE_ID_CONFLICT: EXIT_CONFLICT,
@@ -31,10 +32,10 @@
 
 
 def run_daemon(role: str, path: str) -> int:
-    """Check settings, then become the daemon.
+    """Validate the settings, then replace this process with the daemon.
 
-    The command line's libraries take some 13 MB; the daemon takes the process
-    over without them, under the same process id.
+    The libraries of the command line use about 13 MB. The exec frees this memory
+    and keeps the process id.
     """
     from wisteriapulley.settings import load_settings
 
@@ -56,15 +57,17 @@
         return run_daemon("control", self.settings)
 
 
-@cappa.command(name="init", help="Found the fleet's cluster: on one instance, once.")
+@cappa.command(
+    name="init", help="Initialize the cluster; run it once, on one instance."
+)
 @dataclass
 class ControlInit:
-    """Found the cluster on this instance."""
+    """Initialize the cluster on this instance."""
 
     settings: SettingsFile
 
     def __call__(self) -> int:
-        """Write the identity of the one founding voter."""
+        """Write the identity of the first voter."""
         from wisteriapulley.consensus.setup import init_folder
         from wisteriapulley.control.founding import refuse_if_founded
         from wisteriapulley.settings import load_settings
@@ -72,14 +75,17 @@
         settings = load_settings(self.settings, "control")
         refuse_if_founded(settings)
         identity = init_folder(settings)
-        print(f"{settings.data_folder}: {settings.node_id} founds, {identity.identity}")
+        print(
+            f"{settings.data_folder}: {settings.node_id} initializes the cluster,"
+            f" {identity.identity}"
+        )
         return EXIT_OK
 
 
-@cappa.command(name="join", help="Make the folder of an instance that joins.")
+@cappa.command(name="join", help="Create the data folder of an instance that joins.")
 @dataclass
 class ControlJoin:
-    """Make the folder of an instance that joins."""
+    """Create the data folder of an instance that joins."""
 
     settings: SettingsFile
 
@@ -90,34 +96,37 @@
 
         settings = load_settings(self.settings, "control")
         identity = join_folder(settings)
-        print(f"{settings.data_folder}: {settings.node_id} joins, {identity.identity}")
+        print(
+            f"{settings.data_folder}: {settings.node_id} joins the cluster,"
+            f" {identity.identity}"
+        )
         return EXIT_OK
 
 
-@cappa.command(name="members", help="Show who votes, who learns and how far each is.")
+@cappa.command(name="members", help="Show voters, learners and their log positions.")
 @dataclass
 class ControlMembers:
-    """Show the members of the quorum."""
+    """Show the members of the cluster."""
 
     control: Control
     token_file: TokenFile
 
     def __call__(self) -> int:
-        """Print them as JSON."""
+        """Print the members as JSON."""
         return show_members(self.control, self.token_file, "GET")
 
 
-@cappa.command(name="remove", help="Take an instance out of the quorum for good.")
+@cappa.command(name="remove", help="Remove an instance from the cluster permanently.")
 @dataclass
 class ControlRemove:
-    """Remove a member."""
+    """Remove a member of the cluster."""
 
     node_id: Annotated[str, cappa.Arg(help="Control instance to remove.")]
     control: Control
     token_file: TokenFile
 
     def __call__(self) -> int:
-        """Remove it and print who is left."""
+        """Remove the member and print the remaining ones."""
         return show_members(self.control, self.token_file, "DELETE", self.node_id)
 
 
@@ -131,10 +140,10 @@
     ]
 
 
-@cappa.command(name="entry", help="Entry: serves callers.")
+@cappa.command(name="entry", help="Run an entry: the front end that serves callers.")
 @dataclass
 class EntryCommand:
-    """Entry."""
+    """Run an entry."""
 
     settings: SettingsFile
 
@@ -143,10 +152,10 @@
         return run_daemon("entry", self.settings)
 
 
-@cappa.command(name="sidecar", help="Sidecar: beside each target.")
+@cappa.command(name="sidecar", help="Run a sidecar: one runs beside each target.")
 @dataclass
 class SidecarCommand:
-    """Sidecar."""
+    """Run a sidecar."""
 
     settings: SettingsFile
 
@@ -156,7 +165,7 @@
 
 
 def show_members(control: str, token_file: str, method: str, node_id: str = "") -> int:
-    """Ask the leader about the members and print its answer."""
+    """Query or change the cluster's members and print the response."""
     from wisteriapulley.operator_client import OperatorClient
 
     client = OperatorClient.from_files(control, token_file, "")
@@ -170,14 +179,14 @@
 class ManifestBuild:
     """Build a manifest."""
 
-    folder: Annotated[str, cappa.Arg(help="Root of the file tree.")]
+    folder: Annotated[str, cappa.Arg(help="Root folder of the file tree.")]
     output: Annotated[str, cappa.Arg(help="Manifest file to write.")]
     chunk_bytes: Annotated[
-        int, cappa.Arg(long=True, help="Length of a chunk, in bytes.")
+        int, cappa.Arg(long=True, help="Size of a chunk, in bytes.")
     ] = 4 << 20
 
     def __call__(self) -> int:
-        """Write the manifest and print the version."""
+        """Write the manifest and print its digest."""
         from wisteriapulley.weights.manifest import build_manifest
 
         manifest = build_manifest(self.folder, self.chunk_bytes)
@@ -191,11 +200,11 @@
 class ManifestVerify:
     """Verify a file tree."""
 
-    folder: Annotated[str, cappa.Arg(help="Root of the file tree.")]
+    folder: Annotated[str, cappa.Arg(help="Root folder of the file tree.")]
     manifest: Annotated[str, cappa.Arg(help="Manifest file.")]
 
     def __call__(self) -> int:
-        """Print the version when every byte matches."""
+        """Print the digest if all files match the manifest."""
         from wisteriapulley.weights.manifest import Manifest, verify_folder
 
         manifest = Manifest.from_bytes(Path(self.manifest).read_bytes())
@@ -207,7 +216,7 @@
 @cappa.command(name="manifest", help="Build and verify manifests of weights.")
 @dataclass
 class ManifestCommand:
-    """Manifests."""
+    """Build and verify manifests."""
 
     command: cappa.Subcommands[ManifestBuild | ManifestVerify]
 
@@ -221,7 +230,7 @@
     settings: SettingsFile
 
     def __call__(self) -> int:
-        """Print that the file is fine."""
+        """Print a confirmation if the file is valid."""
         from wisteriapulley.settings import load_settings
 
         load_settings(self.settings, self.role)
@@ -232,32 +241,36 @@
 @cappa.command(name="settings", help="Check settings files.")
 @dataclass
 class SettingsCommand:
-    """Settings."""
+    """Check settings files."""
 
     command: cappa.Subcommands[SettingsCheck]
 
 
-@cappa.command(name="experiment", help="Compare decisions on the emulator.")
+@cappa.command(name="experiment", help="Compare scheduling policies on the emulator.")
 @dataclass
 class ExperimentCommand:
-    """Compare decisions under the same load."""
-
-    mix: Annotated[str, cappa.Arg(long=True, help="trinacria or lettercraft.")] = (
-        "trinacria"
-    )
-    engines: Annotated[int, cappa.Arg(long=True, help="Engines that serve.")] = 10
-    load: Annotated[float, cappa.Arg(long=True, help="Share of the peak.")] = 0.9
-    seeds: Annotated[int, cappa.Arg(long=True, help="Runs of each row.")] = 4
+    """Compare scheduling policies under the same load."""
+
+    mix: Annotated[
+        str, cappa.Arg(long=True, help="Workload mix: trinacria or lettercraft.")
+    ] = "trinacria"
+    engines: Annotated[int, cappa.Arg(long=True, help="Number of engines.")] = 10
+    load: Annotated[
+        float, cappa.Arg(long=True, help="Load as a fraction of the peak.")
+    ] = 0.9
+    seeds: Annotated[
+        int, cappa.Arg(long=True, help="Number of runs (seeds) per row.")
+    ] = 4
 
     def __call__(self) -> int:
-        """Print a table."""
+        """Print a table of the results."""
         from wisteriapulley.emulator import MIXES, Scenario
         from wisteriapulley.emulator.experiment import format_table, run_variants
 
         if self.mix not in MIXES or min(self.engines, self.load, self.seeds) <= 0:
             raise WisteriapulleyError(
                 ResultCode.SETTINGS_INVALID,
-                f"expected a mix of {sorted(MIXES)} and figures above 0, got"
+                f"expected a mix of {sorted(MIXES)} and values above 0, got"
                 f" {self.mix!r}, {self.engines}, {self.load}, {self.seeds}",
             )
         base = Scenario(self.mix, self.engines, self.load)
@@ -266,16 +279,16 @@
         return EXIT_OK
 
 
-@cappa.command(name="explain", help="Tell from log files why a request ended so.")
+@cappa.command(name="explain", help="Explain the outcome of a request from log files.")
 @dataclass
 class ExplainCommand:
-    """Explain one request."""
+    """Explain the outcome of one request."""
 
     request_id: Annotated[str, cappa.Arg(help="Id of the request.")]
     files: Annotated[list[str], cappa.Arg(help="Log files of all processes.")]
 
     def __call__(self) -> int:
-        """Print the cause, the request's lines and what happened around it."""
+        """Print the cause, the log lines of the request and the context."""
         from wisteriapulley.explain import explain, parse, render
 
         texts = (text for name in self.files for text in read_lines(name))
@@ -290,7 +303,7 @@
     Raises
     ------
     WisteriapulleyError
-        SETTINGS_UNREADABLE: the file can't be read.
+        SETTINGS_UNREADABLE: the file cannot be read.
     """
     try:
         return Path(name).read_text(errors="replace").splitlines()
@@ -303,11 +316,11 @@
 
 @cappa.command(
     name="wisteriapulley",
-    help="Spread model weights in bursts; one catalogue rules the fleet.",
+    help="Distribute model weights and route requests, configured by one catalogue.",
 )
 @dataclass
 class Main:
-    """The whole command line."""
+    """Top-level command."""
 
     command: cappa.Subcommands[
         ControlCommand
@@ -322,13 +335,14 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a command; an error's code and message go to standard error.
+    """Run a command; print errors with their code to standard error.
 
     Returns
     -------
     int
-        0, 1 on an error, 2 on wrong usage, 3 when ``diff`` finds one, 4 on a
-        conflict, 5 without a quorum, 6 when not yet in force everywhere.
+        Exit status: 0 on success, 1 on an error, 2 on wrong usage, 3 if ``diff``
+        finds a difference, 4 on a conflict, 5 without a quorum, 6 if a change is
+        not yet applied on all instances.
     """
     try:
         return cappa.invoke(Main, argv=argv, version=__version__) or EXIT_OK
--- a/src/wisteriapulley/daemon.py
+++ b/src/wisteriapulley/daemon.py
@@ -1,4 +1,4 @@
-"""Runs a daemon's service on one uvloop loop until a signal."""
+"""Run the service of a daemon on a uvloop event loop until a signal."""
 
 import asyncio
 import gc
@@ -13,7 +13,8 @@
 from wisteriapulley.errors import WisteriapulleyError
 from wisteriapulley.settings import NodeSettings, load_settings
 
-# Imported late: what a role does not need must not weigh on its 32 MB.
+# Imported on demand: modules that a role does not need must not count against its
+# memory limit of 32 MB.
 SERVICES = {
     "control": ("wisteriapulley.control.service", "ControlService"),
     "entry": ("wisteriapulley.entry.service", "EntryService"),
@@ -21,13 +22,14 @@
 }
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 EXIT_FAILED = 1
-# Objects made since the last collection until the next one. Requests and frames free
-# theirs without it, so the interpreter's own 700 collects again and again for nothing.
+# Allocations of objects, less deallocations, that trigger a collection. Requests and
+# frames are freed by reference counting, so the interpreter's default of 700 only
+# causes frequent collections that find nothing.
 GC_THRESHOLD_OBJECTS = 20_000
 
 
 def main() -> int:
-    """Run the daemon that the command line named: role and settings file."""
+    """Run the daemon for the role and settings file in ``sys.argv``."""
     role, path = sys.argv[1:]
     try:
         return run(role, load_settings(path, role))
@@ -47,7 +49,7 @@
     Raises
     ------
     WisteriapulleyError
-        The daemon could not start, or failed for good.
+        The daemon could not start, or failed fatally.
     """
     logs.configure(settings.node_id, settings.log_level)
     module, name = SERVICES[role]
@@ -58,22 +60,22 @@
 
 
 def reduce_gc_frequency() -> None:
-    """Leave what the start made out of collections, and collect seldom after it."""
+    """Exclude the objects created at start from collections, and collect rarely."""
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD_OBJECTS)
     gc.enable()
 
 
 async def serve(service: aiomisc.Service) -> None:
-    """Run a service until a signal, or until it fails for good.
+    """Run a service until a stop signal or a fatal failure.
 
-    A second signal changes nothing: a stop in progress still finishes every
-    request, however often the platform asks.
+    Further signals have no effect: a shutdown in progress still finishes all
+    requests, however often the platform signals.
 
     Raises
     ------
     WisteriapulleyError
-        What the service set as the exception of its ``fatal`` future.
+        Exception that the service set on its ``fatal`` future.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -86,8 +88,8 @@
             (stopping, service.fatal), return_when=asyncio.FIRST_COMPLETED
         )
         stopping.cancel()
-    # Handlers of Python go before the process does: a signal in between would
-    # end a clean exit as a kill.
+    # Python removes its signal handlers before the process ends: a signal in between
+    # would kill the process instead of a clean exit.
     for number in STOP_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
     if service.fatal.done():
--- a/src/wisteriapulley/metrics.py
+++ b/src/wisteriapulley/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a daemon, kept by aioprometheus and shown at ``/metrics``."""
+"""Prometheus metrics of a daemon, served at ``/metrics``."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 
@@ -22,14 +22,14 @@
 
 
 class Metrics:
-    """Registry of one daemon with the collectors that every role shares.
+    """Metrics registry of one daemon, with labels common to all its metrics.
 
     Parameters
     ----------
     node_id : str
-        Constant label ``node``.
+        Value of the constant label ``node``.
     role : str
-        Constant label ``role``.
+        Value of the constant label ``role``.
     """
 
     def __init__(self, node_id: str, role: str):
@@ -38,19 +38,19 @@
         self.collectors: dict[str, Counter | Gauge | Histogram] = {}
 
     def counter(self, name: str, doc: str) -> Counter:
-        """Return the counter `name`, made on first use."""
+        """Return the counter `name`; create it on first use."""
         return self.collector(Counter, name, doc)
 
     def gauge(self, name: str, doc: str) -> Gauge:
-        """Return the gauge `name`, made on first use."""
+        """Return the gauge `name`; create it on first use."""
         return self.collector(Gauge, name, doc)
 
     def histogram(self, name: str, doc: str) -> Histogram:
-        """Return the histogram `name` in seconds, made on first use."""
+        """Return the histogram `name`, in seconds; create it on first use."""
         return self.collector(Histogram, name, doc, buckets=LATENCY_BUCKETS_S)
 
     def collector(self, kind: type, name: str, doc: str, **options: object):
-        """Return the collector `name` of `kind`, made on first use."""
+        """Return the collector `name` of class `kind`; create it on first use."""
         if name not in self.collectors:
             self.collectors[name] = kind(
                 f"wisteriapulley_{name}",
--- a/src/wisteriapulley/readiness.py
+++ b/src/wisteriapulley/readiness.py
@@ -1,4 +1,4 @@
-"""A listener that tells a balancer whether work may come."""
+"""HTTP listener for the readiness checks of a load balancer."""
 
 from collections.abc import Callable
 
@@ -8,14 +8,14 @@
 
 
 class ReadinessServer:
-    """Answers the balancer's question.
+    """Serve the readiness checks of a load balancer.
 
     Parameters
     ----------
     path : str
-        What the balancer asks for.
+        Path that the load balancer requests.
     is_ready : callable
-        Tells whether work may come.
+        Returns whether this process accepts requests.
     """
 
     def __init__(self, path: str, is_ready: Callable[[], bool]):
@@ -24,7 +24,7 @@
         self.runner: web.ServerRunner | None = None
 
     async def start(self, address: Address) -> None:
-        """Listen."""
+        """Listen at `address`."""
         server = web.Server(self.answer, access_log=None)
         self.runner = web.ServerRunner(
             server, handle_signals=False, shutdown_timeout=0.1
@@ -33,7 +33,7 @@
         await web.TCPSite(self.runner, address.host, address.port).start()
 
     async def answer(self, request: web.BaseRequest) -> web.Response:
-        """Answer 200 while ready, else 503."""
+        """Answer 200 if ready and 503 if not; 404 on any other path."""
         if request.path != self.path:
             return web.Response(status=404)
         return web.Response(status=200 if self.is_ready() else 503)
--- a/src/wisteriapulley/reference.py
+++ b/src/wisteriapulley/reference.py
@@ -1,4 +1,4 @@
-"""Generates the reference pages that mirror code."""
+"""Generate the reference pages from the code."""
 
 import dataclasses
 import inspect
@@ -18,7 +18,7 @@
 
 
 def page_header(title: str, source: str) -> Iterator[str]:
-    """Yield a page's first lines."""
+    """Yield the title and the source note of a page."""
     yield f"# {title}"
     yield ""
     yield f"Generated from `src/wisteriapulley/{source}` by `make docs`."
@@ -26,13 +26,13 @@
 
 
 def table_header(*names: str) -> Iterator[str]:
-    """Yield the head of a table."""
+    """Yield the header rows of a Markdown table."""
     yield f"| {' | '.join(names)} |"
     yield "|" + " --- |" * len(names)
 
 
 def result_code_lines() -> Iterator[str]:
-    """Yield the lines of the result code table."""
+    """Yield the page of result codes."""
     yield from page_header("Result codes", "errors.py")
     yield from table_header("code", "name", "meaning", "HTTP", "not run", "what to do")
     for code, entry in CODE_TABLE.items():
@@ -44,7 +44,7 @@
 
 
 def type_text(hint: object) -> str:
-    """Name a type as a reader of JSON or of the wire sees it."""
+    """Return the name of a type as it appears in JSON or on the wire."""
     if hint is Address:
         return "ip:port"
     if hint is Peer:
@@ -58,10 +58,10 @@
 
 
 def setting_lines() -> Iterator[str]:
-    """Yield the settings of each role."""
+    """Yield the page of settings, by role."""
     yield from page_header("Settings", "settings.py")
-    yield "One JSON object a daemon; `wisteriapulley settings check ROLE FILE`"
-    yield "checks it."
+    yield "One JSON object per daemon; `wisteriapulley settings check ROLE FILE`"
+    yield "validates it."
     for role, kind in ROLES.items():
         yield ""
         yield f"## {role}"
@@ -78,7 +78,7 @@
 
 
 def read_attribute_docs(kind: type) -> dict[str, str]:
-    """Read the attributes that a class and its bases document."""
+    """Return the documentation of the attributes of a class and its bases."""
     found: dict[str, str] = {}
     for base in reversed(kind.__mro__):
         names: list[str] = []
@@ -94,7 +94,7 @@
 
 
 def command_lines() -> Iterator[str]:
-    """Yield every command with its arguments."""
+    """Yield the page of commands with their arguments."""
     yield from page_header("Command line", "cli.py")
     yield "Exit status: 0, 1 on an error (its code and message on standard error), 2"
     yield "on wrong usage, 3 when `catalogue diff` finds a difference."
@@ -102,7 +102,7 @@
 
 
 def command_sections(kind: type, names: tuple[str, ...]) -> Iterator[str]:
-    """Yield the sections of a command and those below it."""
+    """Yield the sections of a command and its subcommands."""
     command = kind.__cappa__
     names = (*names, command.name)
     hints = typing.get_type_hints(kind, include_extras=True)
@@ -124,7 +124,7 @@
 
 
 def argument_text(field: dataclasses.Field, hint: object) -> str:
-    """Describe one argument: its spelling and help."""
+    """Return the table cells of an argument: its name and help text."""
     argument = next(a for a in hint.__metadata__ if hasattr(a, "help"))
     spelling = field.name
     if argument.long:
@@ -133,10 +133,10 @@
 
 
 def wire_lines() -> Iterator[str]:
-    """Yield every message of the links."""
+    """Yield the page of wire messages."""
     yield from page_header("Wire", "wire/messages.py")
     yield "Frames between the system's own processes; `wire/messages.capnp` is the"
-    yield "schema, and a test holds both together. Bodies follow the message raw."
+    yield "schema, and a test keeps both in sync. Raw bodies follow their message."
     for name, kind in vars(messages).items():
         if not (inspect.isclass(kind) and hasattr(kind, "_fields")):
             continue
@@ -159,7 +159,7 @@
 
 
 def main() -> None:
-    """Write the pages."""
+    """Write all pages."""
     FOLDER.mkdir(parents=True, exist_ok=True)
     for page, lines in PAGES.items():
         page.write_text("\n".join(lines()) + "\n")
--- a/src/wisteriapulley/settings_watch.py
+++ b/src/wisteriapulley/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notices that the settings file changed, with a signal or without one."""
+"""Reload the settings file after SIGHUP or when the file changes."""
 
 import asyncio
 import logging
@@ -12,8 +12,8 @@
 
 log = logging.getLogger(__name__)
 
-# A look at the file's time costs a microsecond; news of control instances may
-# wait this long, since the running links tell them as well.
+# A check of the file's modification time costs a microsecond. Changes of control
+# instances in the file tolerate this delay, because open links report them as well.
 POLL_INTERVAL_S = 1.0
 
 
@@ -21,18 +21,18 @@
 
 
 class SettingsWatch(Generic[AnySettings]):
-    """Reads the settings again whenever they may have changed.
+    """Reload the settings after SIGHUP and when the file has changed.
 
     Parameters
     ----------
     path : str
-        The file.
+        Path of the settings file.
     settings : object
-        As read at the start.
+        Settings read at start.
     read : callable
-        Reads the file.
+        Returns the settings read from a path.
     on_change : callable
-        Called with settings that differ from the last ones.
+        Called with the new settings if they differ from the previous ones.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self.task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Take signals, and begin to look."""
+        """Install the SIGHUP handler and start to watch the file."""
         loop = asyncio.get_running_loop()
         signal.signal(
             signal.SIGHUP,
@@ -60,13 +60,13 @@
         self.task = loop.create_task(self.run())
 
     def stop(self) -> None:
-        """Stop looking; later signals do nothing."""
+        """Stop watching the file and ignore later signals."""
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         if self.task is not None:
             self.task.cancel()
 
     def file_stamp(self) -> tuple[int, int]:
-        """Return what changes with the file."""
+        """Return modification time (ns) and size of the file; zeros if unreadable."""
         try:
             status = os.stat(self.path)
         except OSError:
@@ -74,7 +74,7 @@
         return (status.st_mtime_ns, status.st_size)
 
     async def run(self) -> None:
-        """Look at the file now and then, and after each signal."""
+        """Reload after each signal and when a periodic check finds a change."""
         while True:
             try:
                 async with asyncio.timeout(POLL_INTERVAL_S):
@@ -86,7 +86,7 @@
             self.reload()
 
     def reload(self) -> None:
-        """Read the file; one that can't be read leaves all as it is."""
+        """Reload the file; keep the current settings if it is unreadable or invalid."""
         self.stamp = self.file_stamp()
         try:
             settings = self.read(self.path)
--- a/src/wisteriapulley/start_order.py
+++ b/src/wisteriapulley/start_order.py
@@ -1,9 +1,9 @@
-"""Lets one process of an instance start before another.
+"""Delay the start of a process until another process of its instance listens.
 
-Load: all instances start again after a loss of power, and two processes share the
-processor of some. Harm prevented: both are ready at the same late moment, though all
-others wait for one of them alone. Few modules are imported here, since whoever waits
-is to take no processor time.
+After a power failure all instances restart, and on some of them two processes share a
+processor. If both start at once, both become ready late, although all other instances
+wait for only one of them. This module imports little, so that the waiting process uses
+no processor time.
 """
 
 import socket
@@ -11,26 +11,26 @@
 
 from wisteriapulley.settings import Address
 
-# A process that starts listens after some 0.3 s of processor time; one that does not
-# run at all must not be waited for much longer.
+# A starting process listens after about 0.3 s of processor time. The wait must not be
+# much longer, because the other process may not run at all.
 MAX_WAIT_S = 0.6
 POLL_INTERVAL_S = 0.02
 
 
 def wait_for_listener(address: Address, max_wait_s: float = MAX_WAIT_S) -> bool:
-    """Wait until something listens at an address of this instance, but not for long.
+    """Wait for a limited time until a process listens at a local address.
 
     Parameters
     ----------
     address : Address
-        Where the other process will listen.
-    most_s : float
-        Seconds to wait at the most.
+        Address at which the other process will listen.
+    max_wait_s : float
+        Maximum time to wait, in seconds.
 
     Returns
     -------
     bool
-        Whether it listens.
+        Whether a process listens at the address.
     """
     deadline_s = time.monotonic() + max_wait_s
     while not is_listening(address):
@@ -41,7 +41,7 @@
 
 
 def is_listening(address: Address) -> bool:
-    """Tell whether a connection to an address is taken."""
+    """Return whether a connection to an address is accepted."""
     try:
         socket.create_connection((address.host, address.port), POLL_INTERVAL_S).close()
     except OSError:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and only over those."""
+"""Mark the tests that KNOWN-RED.txt lists, and only those, as expected failures."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 def known_red() -> Iterator[tuple[str, str]]:
-    """Yield the test and the reason of each entry that names a test."""
+    """Yield the node id and the reason of each entry that names a test."""
     for line in KNOWN_RED.read_text().splitlines():
         name, _, reason = line.partition("|")
         if "::" in name and not line.startswith("#"):
@@ -17,7 +17,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect listed tests to fail; their outcome still is reported."""
+    """Mark listed tests with xfail; they still run and are reported."""
     reasons = dict(known_red())
     for item in items:
         if item.nodeid in reasons:
--- a/tests/demo.py
+++ b/tests/demo.py
@@ -1,8 +1,8 @@
-"""The whole path in one run: ``make demo``.
+"""End-to-end demo in one run: ``make demo``.
 
-Starts control instances, entries and sidecars as separate processes, serves
-steady load, applies a second version of the weights under that load, and
-judges the promises by the fakes' own records.
+Start control instances, entries and sidecars as separate processes, generate steady
+load, apply a second version of the weights under this load, and check the system's
+guarantees against the records of the fakes.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
     TRINACRIA: ["palermo", "catania", "agrigento"],
     LETTERCRAFT: ["galway", "swords", "belfast"],
 }
-# Services and sizes of the brief: service, kind, targets.
+# Services of each owner: name, kind and number of targets.
 SERVICES = {
     TRINACRIA: [
         ("report-writing", "engine", 6),
@@ -72,7 +72,7 @@
 
 
 def start(fleet: Fleet) -> None:
-    """Start every process."""
+    """Start all processes."""
     fleet.start_origin()
     fleet.start_store()
     fleet.start_control(DOMAINS[TRINACRIA])
@@ -86,7 +86,7 @@
 
 
 def apply_version(fleet: Fleet, version: str) -> None:
-    """Write both users' catalogues with a version, and apply them."""
+    """Set a version in the catalogues of both owners and apply them."""
     for owner, name in ((TRINACRIA, "trinacria"), (LETTERCRAFT, "lettercraft")):
         folder = fleet.folder / "catalogue" / name
         folder.mkdir(parents=True, exist_ok=True)
@@ -99,7 +99,7 @@
 
 
 def engine_nodes(fleet: Fleet) -> list[str]:
-    """Return the node ids of sidecars beside engines."""
+    """Return the node ids of the sidecars of engines."""
     return [
         name
         for name, node in fleet.nodes.items()
@@ -108,7 +108,7 @@
 
 
 class Status:
-    """Asks a control instance what is in force."""
+    """Client for the status of the fleet at a control instance."""
 
     def __init__(self, fleet: Fleet, session: aiohttp.ClientSession):
         self.url = f"{fleet.nodes['control-1'].http}/v1/status"
@@ -125,13 +125,14 @@
 async def follow_switch(
     status: Status, names: list[str], version: str, revision: int, nodes: int
 ) -> tuple[float, dict[str, float]]:
-    """Wait until `names` serve `version`.
+    """Wait until all nodes in `names` serve `version`.
 
     Returns
     -------
     seconds, config_seconds : float, dict
-        Time to all replicas, and to the revision by failure domain, since the
-        operators' commands were started (one for each user, in turn).
+        Seconds until all replicas serve the version, and until all nodes of each
+        failure domain have the revision. Both count from the start of the
+        operators' commands, which run one after another.
     """
     start_s = time.monotonic()
     config: dict[str, float] = {}
@@ -154,7 +155,7 @@
 def record_domain_times(
     rows: list[dict], revision: int, elapsed: float, config: dict[str, float]
 ) -> None:
-    """Note the time at which a failure domain has the revision everywhere."""
+    """Record when all nodes of a failure domain first have the revision."""
     for domain in {row["failure_domain"] for row in rows}:
         lowest = min(r["revision"] for r in rows if r["failure_domain"] == domain)
         if lowest >= revision:
@@ -162,7 +163,7 @@
 
 
 async def run(fleet: Fleet) -> dict:
-    """Run the demo; return its figures."""
+    """Run the demo; return its results."""
     start(fleet)
     controls = [settings["node_id"] for settings in fleet.controls]
     await fleet.wait_ready(controls)
@@ -198,15 +199,21 @@
 
 
 def origin_bytes(fleet: Fleet) -> int:
-    """Return the bytes drawn from the origin and the store, by their records."""
+    """Return the bytes that the origin and the store sent, by their records."""
     sent = [*fleet.records("origin"), *fleet.records("store")]
     return sum(record["bytes"] for record in sent if record["event"] == "sent")
 
 
-def broken_promises(figures: dict) -> list[str]:
-    """Return the promises that the figures show broken."""
-    promises = ["lost", "duplicated", "mixed_version", "wrong_caller", "false_not_run"]
-    found = [name for name in promises if figures[name]]
+def violated_guarantees(figures: dict) -> list[str]:
+    """Return the names of the guarantees that the results violate."""
+    guarantees = [
+        "lost",
+        "duplicated",
+        "mixed_version",
+        "wrong_caller",
+        "false_not_run",
+    ]
+    found = [name for name in guarantees if figures[name]]
     config = figures["config_seconds_by_failure_domain"]
     if len(config) < 6 or max(config.values()) > MAX_CONFIG_S:
         found.append("config_seconds_by_failure_domain")
@@ -214,7 +221,7 @@
 
 
 def format_table(figures: dict) -> str:
-    """Format the figures for a person."""
+    """Format the results as a readable table."""
     lines = ["", "wisteriapulley demo", "=" * 60]
     for name, value in figures.items():
         if isinstance(value, dict):
@@ -226,7 +233,7 @@
 
 
 def main() -> int:
-    """Run and judge."""
+    """Run the demo; return 1 if a guarantee is violated."""
     shutil.rmtree(FOLDER, ignore_errors=True)
     fleet = Fleet(Path(FOLDER))
     try:
@@ -234,10 +241,10 @@
     finally:
         fleet.stop()
     print(format_table(figures))
-    broken = broken_promises(figures)
-    print("promises broken: " + (", ".join(broken) if broken else "none"))
+    violated = violated_guarantees(figures)
+    print("violated guarantees: " + (", ".join(violated) if violated else "none"))
     print(json.dumps(figures))
-    return 1 if broken else 0
+    return 1 if violated else 0
 
 
 if __name__ == "__main__":
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Starts a fleet of real processes on loopback, with fakes around it."""
+"""Run a fleet of real processes on loopback, with fake targets and origins."""
 
 import asyncio
 import contextlib
@@ -28,10 +28,10 @@
 
 
 def free_port() -> int:
-    """Return a port that was free a moment ago.
+    """Return a port that is currently free and not returned before.
 
-    It lies below the range that outgoing connections draw from: one of those
-    could take the port before the process that it is meant for listens.
+    It lies below the ephemeral port range: an outgoing connection could otherwise
+    take the port before the intended process listens.
     """
     while True:
         port = random.SystemRandom().randrange(*LISTEN_PORT_RANGE)
@@ -43,9 +43,10 @@
 
 
 def free_hosts(count: int) -> list[str]:
-    """Return loopback hosts next to each other that no other run uses.
+    """Return consecutive loopback hosts from a random network.
 
-    The platform's settings name ports that are the same on every host.
+    The platform's settings use the same ports on every host, so instances need
+    hosts of their own. A random network avoids clashes with other test runs.
     """
     rng = random.SystemRandom()
     network = f"127.{rng.randrange(1, 255)}.{rng.randrange(255)}"
@@ -59,18 +60,18 @@
 
 
 class Process:
-    """One process of the fleet, restartable with the same command.
+    """Process of the fleet that can be restarted with the same command.
 
     Parameters
     ----------
     name : str
-        Node id or fake's name.
+        Node id, or name of the fake.
     command : list of str
-        Arguments after the interpreter.
+        Arguments for the Python interpreter.
     log : Path
-        Standard output and error.
+        File for standard output and standard error.
     variables : dict, optional
-        Of its environment, beside ours.
+        Environment variables in addition to the inherited ones.
     """
 
     def __init__(
@@ -87,7 +88,7 @@
         self.popen: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Start it, appending to its log."""
+        """Start the process; its output is appended to the log file."""
         environment = dict(os.environ, PYTHONPATH=f"{ROOT / 'src'}:{ROOT}")
         environment |= self.variables
         with open(self.log, "ab") as output:
@@ -100,28 +101,28 @@
             )
 
     def signal(self, number: int) -> None:
-        """Send a signal if it runs."""
+        """Send a signal if the process is running."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it and wait."""
+        """Kill the process and wait for its end."""
         self.signal(signal.SIGKILL)
         self.popen.wait()
 
     def terminate(self, timeout_s: float = 60.0) -> int:
-        """End it gracefully; return its exit status."""
+        """Send SIGTERM and wait; return the exit status."""
         self.signal(signal.SIGTERM)
         return self.popen.wait(timeout_s)
 
     def resident_bytes(self) -> int:
-        """Return its resident memory."""
+        """Return the resident memory in bytes."""
         text = Path(f"/proc/{self.popen.pid}/statm").read_text()
         return int(text.split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 class Node:
-    """A daemon: its process, settings and addresses."""
+    """Daemon of the fleet with its process and settings."""
 
     def __init__(self, process: Process, settings: dict):
         self.process = process
@@ -129,17 +130,17 @@
 
     @property
     def http(self) -> str:
-        """Base URL of its HTTP server."""
+        """Return the base URL of the HTTP server."""
         return f"http://{self.settings['http_listen']}"
 
 
 class Fleet:
-    """Processes of one run under one folder.
+    """Processes of one test run; all their files are in one folder.
 
     Parameters
     ----------
     folder : Path
-        Settings, logs, data folders and records go here.
+        Folder for settings, logs, data folders and records.
     """
 
     def __init__(self, folder: Path):
@@ -159,13 +160,13 @@
     # -- processes -------------------------------------------------------
 
     def start_process(self, name: str, command: list[str]) -> Process:
-        """Start a process that logs under the fleet's folder."""
+        """Start a process; its log file is in the fleet's folder."""
         process = Process(name, command, self.folder / "logs" / f"{name}.log")
         process.start()
         return process
 
     def start_fake(self, name: str, module: str, *options: str) -> int:
-        """Start a fake; return its port."""
+        """Start a fake from `tests.fakes`; return its port."""
         port = free_port()
         records = self.folder / "records" / f"{name}.jsonl"
         command = ["-m", f"tests.fakes.{module}", "--port", str(port)]
@@ -174,7 +175,7 @@
         return port
 
     def start_node(self, role: str, settings: dict) -> Node:
-        """Write a daemon's settings and start it."""
+        """Write the settings file of a daemon and start the daemon."""
         name = settings["node_id"]
         path = self.folder / "settings" / f"{name}.json"
         path.write_text(json.dumps(settings, indent=2))
@@ -186,7 +187,7 @@
         return node
 
     def common_settings(self, node_id: str, domain: str, **more: object) -> dict:
-        """Return the settings that every daemon has."""
+        """Return the settings common to all daemons, with those of `more`."""
         return {
             "node_id": node_id,
             "failure_domain": domain,
@@ -200,7 +201,10 @@
     # -- roles -----------------------------------------------------------
 
     def start_control(self, domains: list[str], **more: object) -> None:
-        """Start one control instance in each domain: one founds, others join."""
+        """Start a control instance per failure domain.
+
+        The first one initializes the cluster and the others join it.
+        """
         names = [f"control-{i + 1}" for i in range(len(domains))]
         wires = {name: address(free_port()) for name in names}
         for name, domain in zip(names, domains, strict=True):
@@ -225,14 +229,14 @@
         for settings in self.controls:
             path = self.folder / "settings" / f"{settings['node_id']}.json"
             path.write_text(json.dumps(settings))
-            founds = settings is self.controls[0]
-            self.run_cli("control", "init" if founds else "join", str(path))
+            is_first = settings is self.controls[0]
+            self.run_cli("control", "init" if is_first else "join", str(path))
         for settings in self.controls:
             self.start_node("control", settings)
 
     @property
     def control_wires(self) -> list[str]:
-        """Wire addresses of the control instances."""
+        """Return the wire addresses of the control instances."""
         return [settings["wire_listen"] for settings in self.controls]
 
     def start_origin(self, bytes_per_s: float = 0, corrupt_every: int = 0) -> None:
@@ -272,7 +276,7 @@
         fake_options: tuple[str, ...] = (),
         **more,
     ) -> Node:
-        """Start a fake target and the sidecar beside it."""
+        """Start a fake target and its sidecar; return the sidecar's node."""
         options = ["--name", node_id, *fake_options]
         options += ["--plain"] if kind == "plain" else []
         port = self.start_fake(f"target-{node_id}", "engine", *options)
@@ -293,9 +297,9 @@
     # -- weights and catalogue -------------------------------------------
 
     def publish(self, seed: int, size: int, chunk_bytes: int, shared: int = 0) -> str:
-        """Make a version of `size` random bytes; return its digest.
+        """Publish a version of `size` pseudo-random bytes; return its digest.
 
-        The first `shared` bytes are the same in every version.
+        The first `shared` bytes are identical in all versions.
         """
         work = self.folder / f"building-{seed}"
         (work / "layers").mkdir(parents=True)
@@ -310,7 +314,7 @@
         return manifest.digest
 
     def run_cli(self, *arguments: str, check: bool = True) -> str:
-        """Run a command of the project; return its standard output."""
+        """Run a command of the command line; return its standard output."""
         environment = dict(os.environ, PYTHONPATH=f"{ROOT / 'src'}:{ROOT}")
         done = subprocess.run(
             [sys.executable, "-m", "wisteriapulley.cli", *arguments],
@@ -325,7 +329,7 @@
         return done.stdout
 
     def operator_options(self, owner: str) -> list[str]:
-        """Return the command line options of an operator."""
+        """Return the command line options for an operator of `owner`."""
         token = next(token for token, name in TOKENS.items() if name == owner)
         path = self.folder / f"{owner}.token"
         path.write_text(token)
@@ -333,7 +337,7 @@
         return ["--control", addresses, "--token-file", str(path)]
 
     def apply(self, folder: Path, owner: str, *options: str) -> str:
-        """Apply a folder of entries."""
+        """Apply a folder of catalogue entries."""
         return self.run_cli(
             "catalogue",
             "apply",
@@ -344,21 +348,21 @@
             *options,
         )
 
-    # -- waiting and ending ----------------------------------------------
+    # -- readiness, records and shutdown ----------------------------------------------
 
     async def wait_ready(self, names: list[str] | None = None) -> None:
-        """Wait until daemons say that they are ready."""
+        """Wait until daemons are ready; all of them by default."""
         async with aiohttp.ClientSession() as session:
             for name in names or list(self.nodes):
                 await wait_ready(session, self.nodes[name])
 
     def records(self, prefix: str = "") -> list[dict]:
-        """Return the fakes' records."""
+        """Return the records of the fakes whose name starts with `prefix`."""
         paths = sorted((self.folder / "records").glob(f"{prefix}*.jsonl"))
         return [record for path in paths for record in read_records(str(path))]
 
     def stop(self) -> None:
-        """End every process of this fleet, by its id."""
+        """Kill all processes of this fleet, including suspended ones."""
         processes = [node.process for node in self.nodes.values()]
         processes += self.fakes.values()
         for process in processes:
@@ -369,12 +373,18 @@
 
 
 def seeded_bytes(seed: int, size: int) -> bytes:
-    """Return the same random bytes for the same seed."""
+    """Return pseudo-random bytes that depend only on the seed and size."""
     return random.Random(seed).randbytes(size)
 
 
 async def wait_ready(session: aiohttp.ClientSession, node: Node) -> None:
-    """Wait until one daemon is ready."""
+    """Wait until one daemon is ready.
+
+    Raises
+    ------
+    RuntimeError
+        The daemon ended or was not ready in time; the message has its last log lines.
+    """
     deadline = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < deadline:
         if node.process.popen.poll() is not None:
@@ -387,5 +397,6 @@
             pass
         await asyncio.sleep(0.05)
     raise RuntimeError(
-        f"{node.process.name} is not ready:\n{node.process.log.read_text()[-2000:]}"
+        f"{node.process.name} did not become ready:"
+        f"\n{node.process.log.read_text()[-2000:]}"
     )
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,8 +1,8 @@
-"""TCP relay on loopback that can cut, hold, slow or corrupt what passes.
+"""TCP relay on loopback that can cut, hold, throttle or corrupt traffic.
 
-A direction that is held keeps its bytes and delivers them once it is let go,
-as TCP does after a partition; a silenced connection never delivers again,
-while new connections through the same relay work.
+A held direction keeps its bytes and delivers them when it is released, as TCP does
+after a partition. A silenced connection delivers nothing any more, while new
+connections through the same relay work.
 """
 
 import asyncio
@@ -10,12 +10,12 @@
 import socket
 
 READ_BYTES = 1 << 16
-# Pieces below this are control frames and headers, not weights.
+# Shorter reads are control frames and headers, not weights.
 CORRUPT_FROM_BYTES = 4096
 
 
 class Direction:
-    """One way through the relay."""
+    """Faults of one direction of the relay."""
 
     def __init__(self):
         self.open = asyncio.Event()
@@ -23,27 +23,27 @@
         self.bytes_per_s = 0.0
         self.corrupting = False
 
-    async def apply_faults(self, piece: bytes) -> bytes:
-        """Wait while held, then slow or corrupt a piece."""
+    async def apply_faults(self, data: bytes) -> bytes:
+        """Wait while the direction is held, then delay or corrupt the data."""
         await self.open.wait()
         if self.bytes_per_s:
-            await asyncio.sleep(len(piece) / self.bytes_per_s)
-        if self.corrupting and len(piece) >= CORRUPT_FROM_BYTES:
-            damaged = bytearray(piece)
-            damaged[len(piece) // 2] ^= 0xFF
-            return bytes(damaged)
-        return piece
+            await asyncio.sleep(len(data) / self.bytes_per_s)
+        if self.corrupting and len(data) >= CORRUPT_FROM_BYTES:
+            corrupted = bytearray(data)
+            corrupted[len(data) // 2] ^= 0xFF
+            return bytes(corrupted)
+        return data
 
 
 class Relay:
-    """Relay from a port of its own to one destination.
+    """Relay connections from its own port to one destination.
 
     Parameters
     ----------
     destination : str
         ``host:port``.
     listen : (str, int), optional
-        Where to listen; any free port of loopback by default.
+        Host and port to listen at; by default any free port on loopback.
     """
 
     def __init__(self, destination: str, listen: tuple[str, int] = ("127.0.0.1", 0)):
@@ -61,18 +61,18 @@
         self.connections: dict[asyncio.Task, asyncio.Event] = {}
 
     async def start(self) -> None:
-        """Begin accepting; connections made before wait in the backlog."""
+        """Accept connections; earlier ones have waited in the listen backlog."""
         self.server = await asyncio.start_server(self.accept, sock=self.socket)
 
     async def accept(self, reader, writer) -> None:
-        """Pass one connection on until either end closes."""
+        """Relay one connection until either end closes it."""
         task = asyncio.current_task()
         silenced = self.connections[task] = asyncio.Event()
         writers = [writer]
         try:
             if self.refusing:
                 return
-            # A held way holds the first packet of a new connection as well.
+            # A held direction also delays new connections.
             await self.forward.open.wait()
             await self.reverse.open.wait()
             far_reader, far_writer = await asyncio.open_connection(self.host, self.port)
@@ -88,44 +88,44 @@
                 end.transport.abort() if self.refusing else end.close()
 
     def cut(self) -> None:
-        """Close every connection and refuse new ones."""
+        """Close all connections and refuse new ones."""
         self.refusing = True
         self.reset()
 
     def reset(self) -> None:
-        """Close every connection; new ones are taken."""
+        """Close all connections; new ones are accepted."""
         for task in tuple(self.connections):
             task.cancel()
 
     def hold(self, forward: bool = True, reverse: bool = True) -> None:
-        """Hold one way or both."""
+        """Hold one direction or both."""
         if forward:
             self.forward.open.clear()
         if reverse:
             self.reverse.open.clear()
 
     def silence(self) -> None:
-        """Let no byte pass on today's connections ever again."""
+        """Stop all traffic on the current connections permanently."""
         for silenced in self.connections.values():
             silenced.set()
 
     def throttle(self, bytes_per_s: float) -> None:
-        """Limit both ways."""
+        """Limit the rate of both directions; 0 removes the limit."""
         self.forward.bytes_per_s = self.reverse.bytes_per_s = bytes_per_s
 
     def corrupt(self) -> None:
-        """Flip a byte in each long piece that comes back."""
+        """Flip a byte in each long read in the reverse direction."""
         self.reverse.corrupting = True
 
     def heal(self) -> None:
-        """End every fault but silence, which lasts as long as its connections."""
+        """End all faults except silence, which lasts as long as its connections."""
         self.refusing = self.reverse.corrupting = False
         self.throttle(0.0)
         self.forward.open.set()
         self.reverse.open.set()
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
         for task in tuple(self.connections):
@@ -134,12 +134,12 @@
 
 
 async def pump(reader, writer, direction: Direction, silenced: asyncio.Event) -> None:
-    """Pass bytes one way; end both ways when this one ends."""
+    """Copy bytes in one direction; raise an error at its end to close both."""
     with contextlib.suppress(OSError):
-        while piece := await reader.read(READ_BYTES):
-            piece = await direction.apply_faults(piece)
+        while data := await reader.read(READ_BYTES):
+            data = await direction.apply_faults(data)
             if silenced.is_set():
                 await asyncio.Event().wait()
-            writer.write(piece)
+            writer.write(data)
             await writer.drain()
-    raise ConnectionResetError("the other end closed")
+    raise ConnectionResetError("the peer closed the connection")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -22,7 +22,7 @@
 
 
 def wait_for_handler(pid):
-    """Wait until a process catches SIGTERM, as its status page tells."""
+    """Wait until a process has a SIGTERM handler, according to /proc."""
     mask = 1 << (signal.SIGTERM - 1)
     while True:
         with open(f"/proc/{pid}/status") as status:
@@ -40,13 +40,13 @@
         assert "seconds" in run("catalogue", "apply", "--help").stdout
 
     @pytest.mark.parametrize("role", ["entry", "sidecar"])
-    def test_bad_settings_stop_the_start_with_a_code(self, tmp_path, role):
+    def test_invalid_settings_exit_with_their_code(self, tmp_path, role):
         path = tmp_path / "s.json"
         path.write_text(json.dumps({"node_id": 1}))
         done = run(role, str(path))
         assert (done.returncode, done.stderr[:5]) == (1, "WP101")
 
-    def test_taken_address_stops_the_start_with_a_code(self, tmp_path):
+    def test_address_in_use_exits_with_its_code(self, tmp_path):
         key = tmp_path / "fleet.key"
         key.write_text("k" * 64)
         with socket.socket() as taken:
@@ -65,8 +65,9 @@
         assert done.returncode == 1
         assert "WP102" in done.stderr
 
-    def test_signals_during_a_stop_change_nothing(self, tmp_path):
-        # Guards the clean exit status: each handler once ended before the process.
+    def test_signals_during_shutdown_have_no_effect(self, tmp_path):
+        # Python removes its signal handlers before the process ends. A signal in
+        # between must not change the exit status.
         key = tmp_path / "fleet.key"
         key.write_text("k" * 64)
         settings = {
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""A settings file that changes, with a signal or without one."""
+"""The settings file is reloaded after a signal or a change."""
 
 import asyncio
 import signal
@@ -32,7 +32,7 @@
 
 
 class TestSettingsWatch:
-    def test_signal_reads_the_file(self, tmp_path):
+    def test_signal_reloads_the_file(self, tmp_path):
         async def scenario(path, watch, seen):
             path.write_text("two")
             signal.raise_signal(signal.SIGHUP)
@@ -40,7 +40,7 @@
 
         run_scenario(tmp_path, scenario)
 
-    def test_change_without_a_signal_is_noticed(self, tmp_path, monkeypatch):
+    def test_change_without_a_signal_is_detected(self, tmp_path, monkeypatch):
         monkeypatch.setattr(settings_watch, "POLL_INTERVAL_S", 0.01)
 
         async def scenario(path, watch, seen):
@@ -49,7 +49,7 @@
 
         run_scenario(tmp_path, scenario)
 
-    def test_file_that_cannot_be_read_changes_nothing(self, tmp_path):
+    def test_invalid_file_keeps_the_settings(self, tmp_path):
         async def scenario(path, watch, seen):
             path.write_text("bad")
             watch.reload()
--- a/tests/test_start_order.py
+++ b/tests/test_start_order.py
@@ -1,4 +1,4 @@
-"""An entry that lets the control instance beside it start first."""
+"""A process waits until another process of its instance listens."""
 
 import socket
 import threading
@@ -15,7 +15,7 @@
 
 
 class TestWaitForListener:
-    def test_ends_when_the_other_process_listens(self):
+    def test_returns_when_the_other_process_listens(self):
         address, listener = free_address(), socket.socket()
         listen = threading.Timer(0.1, listen_at, (listener, address))
         listen.start()
@@ -23,11 +23,11 @@
         listen.join()
         listener.close()
 
-    def test_other_process_that_does_not_run_is_not_waited_for(self):
+    def test_gives_up_after_the_maximum_wait(self):
         assert not wait_for_listener(free_address(), 0.05)
 
 
 def listen_at(listener, address):
-    """Begin to listen."""
+    """Bind and listen."""
     listener.bind((address.host, address.port))
     listener.listen()
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path on real processes, as a user drives it."""
+"""End-to-end tests on real processes, through the public interfaces."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 from tests.fleet import Fleet
 
 OWNER = "lettercraft"
-# Bounds a wait that a failed send would leave without end.
+# Limits the wait for responses to start: a failed request would never start one.
 RESPONSE_START_TIMEOUT_S = 30
 
 
@@ -55,7 +55,7 @@
 
 
 class TestWholePath:
-    def test_completion_comes_from_the_version_of_the_catalogue(self, fleet):
+    def test_completion_is_served_by_the_version_of_the_catalogue(self, fleet):
         body = {"model": "drafts", "prompt": "p", "max_tokens": 3}
         status, headers, text = asyncio.run(post(fleet, "/v1/completions", body))
         assert status == 200
@@ -64,7 +64,7 @@
             "catalogue", "get", *fleet.operator_options(OWNER)
         )
 
-    def test_keyed_request_sent_twice_runs_once(self, fleet):
+    def test_request_with_the_same_key_runs_once(self, fleet):
         expires = str(int(time.time() * 1000) + 60_000)
         headers = {"Idempotency-Key": "once", "Idempotency-Expires": expires}
         path = "/services/letters/post"
@@ -76,7 +76,7 @@
         ran = [r for r in fleet.records("target-press") if r["event"] == "ran"]
         assert [r["key"] for r in ran].count("once") == 1
 
-    def test_key_with_another_body_is_a_conflict(self, fleet):
+    def test_same_key_with_another_body_is_a_conflict(self, fleet):
         expires = str(int(time.time() * 1000) + 60_000)
         headers = {"Idempotency-Key": "clash", "Idempotency-Expires": expires}
         path = "/services/letters/post"
@@ -90,7 +90,7 @@
         assert (status, json.loads(text)["error"]["not_run"]) == (404, True)
 
     @pytest.mark.parametrize("name", ["entry-0", "model-0"])
-    def test_sigterm_cuts_no_request(self, fleet, name):
+    def test_sigterm_finishes_requests_in_progress(self, fleet, name):
         node = fleet.nodes[name]
         body = {"model": "drafts", "prompt": "s", "max_tokens": 400, "stream": True}
 
