--- a/bench/control.py
+++ b/bench/control.py
@@ -67,7 +67,7 @@
 
     def start_watcher(self, name: str, domain: str) -> None:
         """Start one watching node."""
-        wires = self.fleet.control_wires
+        wires = self.fleet.control_wire_addresses
         settings = self.fleet.common_settings(name, domain, control=wires, **BEATS)
         path = self.fleet.folder / "settings" / f"{name}.json"
         path.write_text(json.dumps(settings))
--- a/bench/control_load.py
+++ b/bench/control_load.py
@@ -133,7 +133,9 @@
     def from_fleet(cls, fleet: Fleet, name: str) -> "Claimer":
         """Make a claimer with its own link."""
         path = fleet.folder / "settings" / f"{name}.json"
-        tree = fleet.common_settings(name, "galway", control=fleet.control_wires)
+        tree = fleet.common_settings(
+            name, "galway", control=fleet.control_wire_addresses
+        )
         path.write_bytes(msgspec.json.encode(tree))
         settings: EntrySettings = load_settings(str(path), "entry")
         key = fleet.key_file.read_bytes()
--- a/src/wisteriapulley/logs.py
+++ b/src/wisteriapulley/logs.py
@@ -185,5 +185,9 @@
     dict
         Those of the three that are set, and the items of `more`.
     """
-    named = {"request_id": request_id, "revision": revision, "code": int(code)}
-    return {name: value for name, value in named.items() if value} | more
+    standard_fields = {
+        "request_id": request_id,
+        "revision": revision,
+        "code": int(code),
+    }
+    return {name: value for name, value in standard_fields.items() if value} | more
--- a/src/wisteriapulley/reference.py
+++ b/src/wisteriapulley/reference.py
@@ -10,7 +10,7 @@
 
 from wisteriapulley import cli
 from wisteriapulley.errors import CODE_TABLE
-from wisteriapulley.settings import ROLES, Address, Peer
+from wisteriapulley.settings import SETTINGS_BY_ROLE, Address, Peer
 from wisteriapulley.wire import messages
 
 FOLDER = Path("docs/reference")
@@ -62,7 +62,7 @@
     yield from page_header("Settings", "settings.py")
     yield "One JSON object per daemon; `wisteriapulley settings check ROLE FILE`"
     yield "validates it."
-    for role, kind in ROLES.items():
+    for role, kind in SETTINGS_BY_ROLE.items():
         yield ""
         yield f"## {role}"
         yield ""
--- a/src/wisteriapulley/settings.py
+++ b/src/wisteriapulley/settings.py
@@ -219,7 +219,7 @@
     chunk_store_bytes: int = 256 << 30
 
 
-ROLES: dict[str, type[NodeSettings]] = {
+SETTINGS_BY_ROLE: dict[str, type[NodeSettings]] = {
     "control": ControlSettings,
     "entry": EntrySettings,
     "sidecar": SidecarSettings,
@@ -253,10 +253,10 @@
             ResultCode.SETTINGS_UNREADABLE,
             f"{path}: expected a readable file: {error.strerror}",
         ) from error
-    return check(convert(raw, path, role), path)
+    return validate_settings(decode_settings(raw, path, role), path)
 
 
-def convert(raw: bytes, path: str, role: str) -> NodeSettings:
+def decode_settings(raw: bytes, path: str, role: str) -> NodeSettings:
     """Decode `raw` into the settings class of `role`."""
     try:
         tree = msgspec.json.decode(raw)
@@ -265,7 +265,9 @@
             ResultCode.SETTINGS_UNREADABLE, f"{path}: expected valid JSON: {error}"
         ) from error
     try:
-        return msgspec.convert(expand_addresses(tree), ROLES[role], strict=True)
+        return msgspec.convert(
+            expand_addresses(tree), SETTINGS_BY_ROLE[role], strict=True
+        )
     except (msgspec.ValidationError, ValueError) as error:
         raise SettingsError(ResultCode.SETTINGS_INVALID, f"{path}: {error}") from error
 
@@ -309,7 +311,7 @@
     return {"host": address.host, "port": address.port}
 
 
-def check(settings: NodeSettings, path: str) -> NodeSettings:
+def validate_settings(settings: NodeSettings, path: str) -> NodeSettings:
     """Validate ranges, address clashes and the rules of the role."""
     non_positive = [
         name
@@ -328,7 +330,7 @@
             f" got {settings.silence_ms} - at `$.silence_ms`",
         )
     check_address_clash(settings, path)
-    check_role(settings, path)
+    check_role_settings(settings, path)
     return settings
 
 
@@ -343,7 +345,7 @@
         )
 
 
-def check_role(settings: NodeSettings, path: str) -> None:
+def check_role_settings(settings: NodeSettings, path: str) -> None:
     """Validate the settings that are specific to a role."""
     if isinstance(settings, SidecarSettings) and settings.kind not in (
         "engine",
--- a/tests/demo.py
+++ b/tests/demo.py
@@ -122,7 +122,7 @@
             return await response.json()
 
 
-async def follow_switch(
+async def wait_for_switch(
     status: Status, names: list[str], version: str, revision: int, nodes: int
 ) -> tuple[float, dict[str, float]]:
     """Wait until all nodes in `names` serve `version`.
@@ -179,21 +179,23 @@
     async with aiohttp.ClientSession() as session:
         status = Status(fleet, session)
         revision = (await status.read())["revision"] + len(SERVICES)
-        watching = len(fleet.nodes) - len(controls)
+        node_count = len(fleet.nodes) - len(controls)
         names = engine_nodes(fleet)
         applying = asyncio.create_task(asyncio.to_thread(apply_version, fleet, second))
-        seconds, config = await follow_switch(status, names, second, revision, watching)
+        seconds, config = await wait_for_switch(
+            status, names, second, revision, node_count
+        )
         await applying
     await asyncio.sleep(3)
     callers.stopping = True
     await load
-    verdict = judge(callers.started, callers.outcomes, fleet.records("target-"))
-    drawn = origin_bytes(fleet) - before
+    judgement = judge(callers.started, callers.outcomes, fleet.records("target-"))
+    origin_bytes_sent = origin_bytes(fleet) - before
     return {
         "replicas": len(names),
         "seconds_to_replicas": round(seconds, 2),
-        "origin_copies": round(drawn / (MODEL_BYTES - SHARED_BYTES), 2),
-        **verdict._asdict(),
+        "origin_copies": round(origin_bytes_sent / (MODEL_BYTES - SHARED_BYTES), 2),
+        **judgement._asdict(),
         "config_seconds_by_failure_domain": config,
     }
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -206,12 +206,12 @@
         The first one initializes the cluster and the others join it.
         """
         names = [f"control-{i + 1}" for i in range(len(domains))]
-        wires = {name: address(free_port()) for name in names}
+        wire_addresses = {name: address(free_port()) for name in names}
         for name, domain in zip(names, domains, strict=True):
             data = self.folder / "data" / name
             data.mkdir()
             peers = [
-                {"node_id": other, "address": wires[other]}
+                {"node_id": other, "address": wire_addresses[other]}
                 for other in names
                 if other != name
             ]
@@ -219,7 +219,7 @@
                 self.common_settings(
                     name,
                     domain,
-                    wire_listen=wires[name],
+                    wire_listen=wire_addresses[name],
                     data_folder=str(data),
                     operators_file=str(self.operators_file),
                     peers=peers,
@@ -235,7 +235,7 @@
             self.start_node("control", settings)
 
     @property
-    def control_wires(self) -> list[str]:
+    def control_wire_addresses(self) -> list[str]:
         """Return the wire addresses of the control instances."""
         return [settings["wire_listen"] for settings in self.controls]
 
@@ -263,7 +263,7 @@
     def start_entry(self, node_id: str, domain: str, **more: object) -> Node:
         """Start an entry."""
         settings = self.common_settings(
-            node_id, domain, control=self.control_wires, **more
+            node_id, domain, control=self.control_wire_addresses, **more
         )
         return self.start_node("entry", settings)
 
@@ -284,7 +284,7 @@
             node_id,
             domain,
             wire_listen=address(free_port()),
-            control=self.control_wires,
+            control=self.control_wire_addresses,
             service=service,
             kind=kind,
             target_url=f"http://{address(port)}",
@@ -301,22 +301,24 @@
 
         The first `shared` bytes are identical in all versions.
         """
-        work = self.folder / f"building-{seed}"
-        (work / "layers").mkdir(parents=True)
-        (work / "layers" / "base.bin").write_bytes(seeded_bytes(0, shared))
-        (work / "layers" / "tuned.bin").write_bytes(seeded_bytes(seed, size - shared))
-        (work / "config.json").write_text(json.dumps({"seed": seed}))
-        manifest = build_manifest(str(work), chunk_bytes)
-        home = self.folder / "weights" / manifest.digest
-        home.mkdir()
-        work.rename(home / "files")
-        (home / "manifest.json").write_bytes(manifest.to_bytes())
+        build_folder = self.folder / f"building-{seed}"
+        (build_folder / "layers").mkdir(parents=True)
+        (build_folder / "layers" / "base.bin").write_bytes(seeded_bytes(0, shared))
+        (build_folder / "layers" / "tuned.bin").write_bytes(
+            seeded_bytes(seed, size - shared)
+        )
+        (build_folder / "config.json").write_text(json.dumps({"seed": seed}))
+        manifest = build_manifest(str(build_folder), chunk_bytes)
+        version_folder = self.folder / "weights" / manifest.digest
+        version_folder.mkdir()
+        build_folder.rename(version_folder / "files")
+        (version_folder / "manifest.json").write_bytes(manifest.to_bytes())
         return manifest.digest
 
     def run_cli(self, *arguments: str, check: bool = True) -> str:
         """Run a command of the command line; return its standard output."""
         environment = dict(os.environ, PYTHONPATH=f"{ROOT / 'src'}:{ROOT}")
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "wisteriapulley.cli", *arguments],
             capture_output=True,
             text=True,
@@ -324,9 +326,9 @@
             cwd=ROOT,
             check=False,
         )
-        if check and done.returncode:
-            raise RuntimeError(f"{arguments}: {done.stdout}{done.stderr}")
-        return done.stdout
+        if check and completed.returncode:
+            raise RuntimeError(f"{arguments}: {completed.stdout}{completed.stderr}")
+        return completed.stdout
 
     def operator_options(self, owner: str) -> list[str]:
         """Return the command line options for an operator of `owner`."""
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -43,8 +43,8 @@
     def test_invalid_settings_exit_with_their_code(self, tmp_path, role):
         path = tmp_path / "s.json"
         path.write_text(json.dumps({"node_id": 1}))
-        done = run(role, str(path))
-        assert (done.returncode, done.stderr[:5]) == (1, "WP101")
+        result = run(role, str(path))
+        assert (result.returncode, result.stderr[:5]) == (1, "WP101")
 
     def test_address_in_use_exits_with_its_code(self, tmp_path):
         key = tmp_path / "fleet.key"
@@ -61,9 +61,9 @@
             }
             path = tmp_path / "s.json"
             path.write_text(json.dumps(settings))
-            done = run("entry", str(path))
-        assert done.returncode == 1
-        assert "WP102" in done.stderr
+            result = run("entry", str(path))
+        assert result.returncode == 1
+        assert "WP102" in result.stderr
 
     def test_signals_during_shutdown_have_no_effect(self, tmp_path):
         # Python removes its signal handlers before the process ends. A signal in
@@ -92,8 +92,8 @@
         daemon.stderr.close()
 
     def test_settings_check(self, tmp_path):
-        done = run("settings", "check", "entry", str(tmp_path / "none.json"))
-        assert (done.returncode, done.stderr[:5]) == (1, "WP100")
+        result = run("settings", "check", "entry", str(tmp_path / "none.json"))
+        assert (result.returncode, result.stderr[:5]) == (1, "WP100")
 
     def test_manifest_build_then_verify(self, tmp_path):
         tree = tmp_path / "tree"
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -9,13 +9,13 @@
 from wisteriapulley.explain import explain, parse
 
 
-def line(at_s, message, node="entry-1", **more):
+def log_line(at_s, message, node="entry-1", **more):
     clock = f"2026-01-01 10:00:{at_s:06.3f}".replace(".", ",")
     return json.dumps({"asctime": clock, "node": node, "message": message, **more})
 
 
 def placed(request_id, at_s, target="i-1", send=1, waited_ms=2):
-    return line(
+    return log_line(
         at_s,
         "placed",
         request_id=request_id,
@@ -27,48 +27,58 @@
 
 
 def overloaded(name):
-    yield line(
+    yield log_line(
         1.0, "refused", request_id=name, kind="overloaded", reason="no slot in time"
     )
 
 
 def target_died_mid_stream(name):
     yield placed(name, 1.0)
-    yield line(1.5, "stream broke off", request_id=name, target="i-1", reason="reset")
-    yield line(1.6, "answer cut", request_id=name, reason="no target")
-    yield line(1.7, "target changed", node="control-1", target="i-1", gone=True)
+    yield log_line(
+        1.5, "stream broke off", request_id=name, target="i-1", reason="reset"
+    )
+    yield log_line(1.6, "answer cut", request_id=name, reason="no target")
+    yield log_line(1.7, "target changed", node="control-1", target="i-1", gone=True)
 
 
 def resumed_at_another_target(name):
     yield placed(name, 1.0)
-    yield line(2.6, "stream broke off", request_id=name, target="i-1", reason="x")
+    yield log_line(2.6, "stream broke off", request_id=name, target="i-1", reason="x")
     yield placed(name, 2.7, "i-2", 2)
-    yield line(3.0, "answered", request_id=name, target="i-2", status=200, took_ms=2000)
+    yield log_line(
+        3.0, "answered", request_id=name, target="i-2", status=200, took_ms=2000
+    )
 
 
 def target_answered_500(name):
     yield placed(name, 1.0)
-    yield line(1.1, "answered", request_id=name, target="i-1", status=500, took_ms=9)
+    yield log_line(
+        1.1, "answered", request_id=name, target="i-1", status=500, took_ms=9
+    )
 
 
 def entry_restarted(name):
     yield placed(name, 1.0)
-    yield line(1.2, "started", role="entry")
+    yield log_line(1.2, "started", role="entry")
 
 
 def slow_during_version_switch(name):
     yield placed(name, 1.0, waited_ms=390)
-    yield line(1.0, "places closed", node="entry-1", version=1)
-    yield line(1.7, "answered", request_id=name, target="i-1", status=200, took_ms=700)
+    yield log_line(1.0, "places closed", node="entry-1", version=1)
+    yield log_line(
+        1.7, "answered", request_id=name, target="i-1", status=200, took_ms=700
+    )
 
 
 def rejected_by_one_target(name):
     yield placed(name, 1.0)
-    yield line(
+    yield log_line(
         1.01, "target turned a request away", request_id=name, target="i-1", rest_s=3.0
     )
     yield placed(name, 1.02, "i-2", 2)
-    yield line(1.2, "answered", request_id=name, target="i-2", status=200, took_ms=200)
+    yield log_line(
+        1.2, "answered", request_id=name, target="i-2", status=200, took_ms=200
+    )
 
 
 CAUSES = {
@@ -85,8 +95,8 @@
 class TestExplain:
     @pytest.mark.parametrize("scenario", CAUSES, ids=lambda f: f.__name__)
     def test_cause(self, scenario):
-        found = explain(parse(scenario("r-1")), "r-1")
-        assert CAUSES[scenario] in found.cause
+        explanation = explain(parse(scenario("r-1")), "r-1")
+        assert CAUSES[scenario] in explanation.cause
 
     def test_causes_among_interleaved_requests(self):
         rng = random.Random(7)
@@ -104,8 +114,11 @@
         assert explained >= 36
 
     def test_unknown_request_id(self):
-        found = explain(parse(resumed_at_another_target("r-1")), "r-2")
-        assert found.lines == () and "no log line has this request id" in found.cause
+        explanation = explain(parse(resumed_at_another_target("r-1")), "r-2")
+        assert (
+            explanation.lines == ()
+            and "no log line has this request id" in explanation.cause
+        )
 
     def test_explain_command(self, tmp_path, capsys):
         file = tmp_path / "a.log"
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -35,14 +35,14 @@
     budget = budget or BodyBudget()
 
     async def handle(request):
-        held = BufferedBody(budget, MAX_BYTES)
+        buffer = BufferedBody(budget, MAX_BYTES)
         try:
-            caller = parse_request(request, await held.read(request), ENTRIES)
-            return web.json_response([caller.path, caller.units])
+            parsed = parse_request(request, await buffer.read(request), ENTRIES)
+            return web.json_response([parsed.path, parsed.units])
         except WisteriapulleyError as error:
             return error_response(error)
         finally:
-            held.release()
+            buffer.release()
 
     server = HttpServer(
         Metrics("n", "entry"), lambda: True, [web.route("*", "/{rest:.*}", handle)]
@@ -85,7 +85,7 @@
 COMPLETION = json.dumps({"model": "drafts"}).encode()
 
 
-class TestBadInput:
+class TestInvalidInput:
     @pytest.mark.parametrize(
         ("data", "code"),
         [
@@ -154,9 +154,9 @@
         assert asyncio.run(run()) == b""
 
     def test_unknown_accounts_do_not_add_metric_labels(self):
-        measured = EntryMetrics(Metrics("n", "entry"), max_accounts=2)
+        entry_metrics = EntryMetrics(Metrics("n", "entry"), max_accounts=2)
         for number in range(50):
-            measured.record_response(f"refused-{number}", "c", 403, 0.1)
-            measured.record_response(f"served-{number}", "c", 0, 0.1)
-        assert measured.accounts == {"served-0", "served-1"}
-        assert len(measured.requests.get_all()) == 4
+            entry_metrics.record_response(f"refused-{number}", "c", 403, 0.1)
+            entry_metrics.record_response(f"served-{number}", "c", 0, 0.1)
+        assert entry_metrics.accounts == {"served-0", "served-1"}
+        assert len(entry_metrics.requests.get_all()) == 4
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -80,6 +80,10 @@
         first = os.read(pipe[0], 1 << 20)
         logging.warning("after")
         rest = os.read(pipe[0], 1 << 20)
-        whole = (first + rest).decode().splitlines()
+        complete_lines = (first + rest).decode().splitlines()
         # A line that was truncated by the full pipe is completed before the next one.
-        assert set(map(len, whole)) <= {4000, len("after"), len("log lines dropped")}
+        assert set(map(len, complete_lines)) <= {
+            4000,
+            len("after"),
+            len("log lines dropped"),
+        }
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -44,13 +44,13 @@
     (folder / f"{name}.json").write_text(json.dumps(tree))
 
 
-async def post(fleet, path, body, begun=None, **headers):
+async def post(fleet, path, body, started=None, **headers):
     headers = {"X-Client-Account": "council-1", **headers}
     url = fleet.nodes["entry-0"].http + path
     async with aiohttp.ClientSession() as session:
         async with session.post(url, data=json.dumps(body), headers=headers) as answer:
-            if begun is not None:
-                begun.release()
+            if started is not None:
+                started.release()
             return answer.status, dict(answer.headers), await answer.text()
 
 
@@ -95,14 +95,14 @@
         body = {"model": "drafts", "prompt": "s", "max_tokens": 400, "stream": True}
 
         async def run():
-            begun = asyncio.Semaphore(0)
+            started = asyncio.Semaphore(0)
             sends = [
-                asyncio.create_task(post(fleet, "/v1/completions", body, begun))
+                asyncio.create_task(post(fleet, "/v1/completions", body, started))
                 for _ in range(6)
             ]
             async with asyncio.timeout(RESPONSE_START_TIMEOUT_S):
                 for _ in sends:
-                    await begun.acquire()
+                    await started.acquire()
             node.process.signal(signal.SIGTERM)
             return await asyncio.gather(*sends)
 
