--- a/src/wisteriapulley/http_server.py
+++ b/src/wisteriapulley/http_server.py
@@ -18,8 +18,8 @@
 from wisteriapulley.settings import Address
 
 MAX_BODY_BYTES = 8 << 20
-# Time in which a new connection has to complete its first request, however slowly
-# its bytes arrive.
+# Time in which a new connection has to send the headers of its first request, however
+# slowly its bytes arrive.
 FIRST_REQUEST_TIMEOUT_S = 20.0
 # Idle time of a connection that has served a request; load balancers keep idle
 # connections open for a similar time.
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -350,7 +350,7 @@
             *options,
         )
 
-    # -- readiness, records and shutdown ----------------------------------------------
+    # -- readiness, records and shutdown ---------------------------------
 
     async def wait_ready(self, names: list[str] | None = None) -> None:
         """Wait until daemons are ready; all of them by default."""
@@ -364,7 +364,7 @@
         return [record for path in paths for record in read_records(str(path))]
 
     def stop(self) -> None:
-        """Kill all processes of this fleet, including suspended ones."""
+        """Kill the processes that this fleet started, including suspended ones."""
         processes = [node.process for node in self.nodes.values()]
         processes += self.fakes.values()
         for process in processes:
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -72,7 +72,7 @@
         try:
             if self.refusing:
                 return
-            # A held direction also delays new connections.
+            # A held direction also holds the first packet of a new connection.
             await self.forward.open.wait()
             await self.reverse.open.wait()
             far_reader, far_writer = await asyncio.open_connection(self.host, self.port)
