--- a/src/wisteriapulley/control/service.py
+++ b/src/wisteriapulley/control/service.py
@@ -127,7 +127,7 @@
         await self.listen()
         for keeper in self.peers.values():
             keeper.start()
-        self.meet_hosts(seed.host for seed in settings.seeds)
+        self.add_hosts(seed.host for seed in settings.seeds)
         self.news.restored()
         self.news.suspects.restore(SuspectStore(Path(settings.data_folder)))
         self.driver.start()
@@ -144,7 +144,7 @@
             self.greet_peer,
         )
 
-    def meet_hosts(self, hosts: Iterable[str]) -> None:
+    def add_hosts(self, hosts: Iterable[str]) -> None:
         """Keep links to instances that were found; their host is their node id."""
         if not self.settings.seeds:
             return
@@ -158,7 +158,7 @@
     def tell_hosts(self) -> None:
         """Meet new instances, and tell followers of them."""
         if self.settings.seeds and self.news.flush_hosts():
-            self.meet_hosts(self.news.told_hosts.hosts)
+            self.add_hosts(self.news.told_hosts.hosts)
 
     async def listen(self) -> None:
         """Open both listeners."""
@@ -481,7 +481,7 @@
             self.news.met(link.peer)
             self.peer_links[link.peer_id] = link
             self.driver.accepted_links[link.peer_id] = link
-            self.meet_hosts((link.peer_id,))
+            self.add_hosts((link.peer_id,))
 
     def link_closed(self, link: Link) -> None:
         """Drop a watcher; members stay until their lease or grace ends."""
--- a/src/wisteriapulley/direct/service.py
+++ b/src/wisteriapulley/direct/service.py
@@ -92,7 +92,7 @@
         await self.ingress.start(self.settings.listen)
         self.sweep_task = asyncio.get_running_loop().create_task(self.sweep())
 
-    def meet_hosts(self, hosts: Iterable[str]) -> None:
+    def add_hosts(self, hosts: Iterable[str]) -> None:
         """Follow the control instances in changed settings."""
         self.follower.add_instances(hosts)
 
--- a/src/wisteriapulley/platform/daemons.py
+++ b/src/wisteriapulley/platform/daemons.py
@@ -108,7 +108,7 @@
         os.environ[SETTINGS_VARIABLE],
         settings,
         PlatformSettings.from_file,
-        lambda changed: service.meet_hosts(seed.host for seed in changed.seeds()),
+        lambda changed: service.add_hosts(seed.host for seed in changed.seeds()),
     )
     watch.start()
     reduce_gc_frequency()
--- a/src/wisteriapulley/rollout/service.py
+++ b/src/wisteriapulley/rollout/service.py
@@ -105,7 +105,7 @@
         await self.server.stop()
         await self.http.stop()
 
-    def meet_hosts(self, hosts: Iterable[str]) -> None:
+    def add_hosts(self, hosts: Iterable[str]) -> None:
         """Follow the control instances that changed settings name."""
         self.follower.add_instances(hosts)
 
