--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -153,7 +153,7 @@
     buffer = FrameBuffer()
     for _ in range(count):
         buffer.feed(codec.KEEP_ALIVE)
-        buffer.take()
+        buffer.pop_frame()
     return None, count * len(codec.KEEP_ALIVE)
 
 
--- a/deploy/run.py
+++ b/deploy/run.py
@@ -18,10 +18,10 @@
 from pathlib import Path
 
 HERE = Path(__file__).resolve().parent
-BUILT = HERE.parent / "target" / "app"
+BUILT_SOURCES = HERE.parent / "target" / "app"
 
 
-def spare_imports() -> None:
+def skip_unused_imports() -> None:
     """Leave out what the libraries import and no daemon uses.
 
     After a loss of all instances nobody is served until the processes have
@@ -43,8 +43,10 @@
     # What is imported stays: collecting it again and again while it grows, and
     # with each full collection later, is of no use.
     gc.disable()
-    spare_imports()
-    sys.path.insert(0, str(BUILT if BUILT.is_dir() else HERE.parent / "src"))
+    skip_unused_imports()
+    sys.path.insert(
+        0, str(BUILT_SOURCES if BUILT_SOURCES.is_dir() else HERE.parent / "src")
+    )
 
     import wisteriapulley.clocks  # noqa: F401  (notes when the process began)
     from wisteriapulley.platform.daemons import main
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -119,9 +119,9 @@
         headers = {
             "Host": HOST,
             names.REQUEST_ID: sent.request_id,
-            names.TIME_LEFT: str(int(PATIENCE_S * 1000)),
-            names.SIZES: "100,60",
-            "Authorization": f"{names.KEY_SCHEME}{KEY}",
+            names.DEADLINE_MS: str(int(PATIENCE_S * 1000)),
+            names.TOKEN_COUNTS: "100,60",
+            "Authorization": f"{names.BEARER_PREFIX}{KEY}",
         }
         if self.rng.random() < FRESH_SHARE:
             headers["Connection"] = "close"
--- a/soak/operators.py
+++ b/soak/operators.py
@@ -228,8 +228,8 @@
         headers = {
             "Host": HOST,
             names.REQUEST_ID: f"probe-{self.entry}-{time.monotonic_ns()}",
-            names.TIME_LEFT: str(int(PATIENCE_S * 1000)),
-            "Authorization": f"{names.KEY_SCHEME}no-such-key",
+            names.DEADLINE_MS: str(int(PATIENCE_S * 1000)),
+            "Authorization": f"{names.BEARER_PREFIX}no-such-key",
         }
         url = f"http://{self.address}/v/{version}/"
         try:
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -74,13 +74,17 @@
     if not target.rest_s:
         return None
     target.judge.note_told(request_id, target.target_id, now_s, target.rest_s)
-    said = {names.NOT_RUN: "rest", names.REST: str(target.rest_s), **stated(target)}
+    said = {
+        names.NOT_RUN: "rest",
+        names.RETRY_AFTER: str(target.rest_s),
+        **stated(target),
+    }
     return web.Response(status=names.UNAVAILABLE_STATUS, headers=said)
 
 
 def stated(target) -> dict[str, str]:
     """Return what a target says of itself with every answer."""
-    return {names.LEAVING: names.IS_LEAVING} if target.leaving else {}
+    return {names.LEAVING: names.LEAVING_VALUE} if target.leaving else {}
 
 
 class SoakEngine(Engine):
--- a/src/wisteriapulley/control/client.py
+++ b/src/wisteriapulley/control/client.py
@@ -15,7 +15,7 @@
 from wisteriapulley.settings import NodeSettings
 from wisteriapulley.wire import Frame, Link, messages
 from wisteriapulley.wire.handshake import Identity
-from wisteriapulley.wire.keeper import LinkKeeper
+from wisteriapulley.wire.reconnect import ReconnectingLink
 
 log = logging.getLogger(__name__)
 
@@ -111,7 +111,7 @@
         self.isolated_at: float | None = None
         self.patience_s = ISOLATED_S
         self.pulling = False
-        self.keeper = LinkKeeper(
+        self.keeper = ReconnectingLink(
             self.rotated(identity.node_id),
             identity,
             self.handle,
--- a/src/wisteriapulley/control/driver.py
+++ b/src/wisteriapulley/control/driver.py
@@ -32,7 +32,7 @@
 from wisteriapulley.logs import fields
 from wisteriapulley.settings import ControlSettings
 from wisteriapulley.wire import Link, messages
-from wisteriapulley.wire.keeper import LinkKeeper
+from wisteriapulley.wire.reconnect import ReconnectingLink
 
 log = logging.getLogger(__name__)
 
@@ -103,7 +103,7 @@
         self,
         settings: ControlSettings,
         state: ControlState,
-        peers: dict[str, LinkKeeper],
+        peers: dict[str, ReconnectingLink],
         on_applied,
         on_fatal,
     ):
--- a/src/wisteriapulley/control/followers.py
+++ b/src/wisteriapulley/control/followers.py
@@ -61,7 +61,7 @@
         broadcast(filter(self.is_near, links), news)
         for link in links:
             if not self.is_near(link):
-                link.beat()
+                link.send_heartbeat()
 
     def push_models(self, news: messages.ModelNews) -> None:
         """Tell everyone of the weights in force."""
--- a/src/wisteriapulley/control/following.py
+++ b/src/wisteriapulley/control/following.py
@@ -26,7 +26,7 @@
 from wisteriapulley.weights.desired_versions import DesiredVersions
 from wisteriapulley.wire import Frame, Link, broadcast, messages
 from wisteriapulley.wire.handshake import Identity
-from wisteriapulley.wire.keeper import LinkKeeper
+from wisteriapulley.wire.reconnect import ReconnectingLink
 
 log = logging.getLogger(__name__)
 
@@ -61,7 +61,7 @@
         When it was last usable.
     """
 
-    def __init__(self, keeper: LinkKeeper, now_s: float):
+    def __init__(self, keeper: ReconnectingLink, now_s: float):
         self.keeper = keeper
         self.has_responded = False
         self.connecting_since_s = now_s
@@ -212,7 +212,7 @@
 
     def connect(self, host: str, now_s: float) -> None:
         """Open and keep a link to an instance."""
-        keeper = LinkKeeper(
+        keeper = ReconnectingLink(
             [Address(host, self.seeds[0].port)],
             self.identity,
             self.handle,
--- a/src/wisteriapulley/control/service.py
+++ b/src/wisteriapulley/control/service.py
@@ -47,7 +47,7 @@
 from wisteriapulley.weights.pieces import PieceSource
 from wisteriapulley.wire import Frame, Link, LinkServer, broadcast, messages
 from wisteriapulley.wire.handshake import Identity
-from wisteriapulley.wire.keeper import LinkKeeper
+from wisteriapulley.wire.reconnect import ReconnectingLink
 
 log = logging.getLogger(__name__)
 
@@ -133,9 +133,9 @@
         self.driver.start()
         self.sweeping = asyncio.get_running_loop().create_task(self.sweep_loop())
 
-    def new_keeper(self, address: Address) -> LinkKeeper:
+    def new_keeper(self, address: Address) -> ReconnectingLink:
         """Make the keeper of the link to one peer."""
-        return LinkKeeper(
+        return ReconnectingLink(
             [address],
             self.identity,
             self.handle,
--- a/src/wisteriapulley/direct/service.py
+++ b/src/wisteriapulley/direct/service.py
@@ -118,7 +118,7 @@
     def table_changed(self, table: RoutingTable) -> None:
         """Apply a newer routing table."""
         self.dispatcher.set_table(table)
-        self.ingress.most_body_bytes = table.limits.body_bytes
+        self.ingress.max_body_bytes = table.limits.body_bytes
         self.keep_links()
 
     def targets_changed(self, states: Iterable[messages.TargetState]) -> None:
--- a/src/wisteriapulley/direct/sidecars.py
+++ b/src/wisteriapulley/direct/sidecars.py
@@ -19,7 +19,7 @@
 from wisteriapulley.wire import Frame, Link, messages
 from wisteriapulley.wire.call import Call, raise_failure
 from wisteriapulley.wire.handshake import Identity
-from wisteriapulley.wire.keeper import LinkKeeper
+from wisteriapulley.wire.reconnect import ReconnectingLink
 
 log = logging.getLogger(__name__)
 
@@ -58,7 +58,7 @@
 
     Attributes
     ----------
-    keepers : dict of str to LinkKeeper
+    keepers : dict of str to ReconnectingLink
         Links by host.
     selected_hosts : set of str
         Hosts of the sidecars to request slots from; see `policy.subset`.
@@ -78,7 +78,7 @@
         self.registry = registry
         self.member = Member(identity.node_id, settings.failure_domain)
         self.regions = Regions(settings.failure_domain_regions)
-        self.keepers: dict[str, LinkKeeper] = {}
+        self.keepers: dict[str, ReconnectingLink] = {}
         self.selected_hosts: set[str] = set()
         self.pending: Counter[str] = Counter()
         self.answer_times = AnswerTimes()
@@ -93,7 +93,7 @@
         }
         for host in self.selected_hosts - set(self.keepers):
             address = Address(host, self.settings.sidecar_port)
-            keeper = LinkKeeper(
+            keeper = ReconnectingLink(
                 [address],
                 self.identity,
                 self.handle,
@@ -110,7 +110,7 @@
         Frames of slot requests stand in for heartbeats. A sidecar that has restarted
         knows no advertised rates.
         """
-        link.sparing = True
+        link.skips_redundant_heartbeats = True
         now_s = asyncio.get_running_loop().time()
         for target in self.registry.targets.values():
             if target.host == host and target.rate.per_s is not None:
--- a/src/wisteriapulley/entry/targets.py
+++ b/src/wisteriapulley/entry/targets.py
@@ -12,7 +12,7 @@
 from wisteriapulley.settings import Address, EntrySettings
 from wisteriapulley.wire import Link, messages
 from wisteriapulley.wire.handshake import Identity
-from wisteriapulley.wire.keeper import LinkKeeper
+from wisteriapulley.wire.reconnect import ReconnectingLink
 
 # A target gets no new requests after this many heartbeat intervals without a frame.
 UNRESPONSIVE_AFTER_HEARTBEATS = 2.0
@@ -49,7 +49,7 @@
         Time when the target was last asked about a claim.
     """
 
-    def __init__(self, member: messages.Announce, keeper: LinkKeeper):
+    def __init__(self, member: messages.Announce, keeper: ReconnectingLink):
         self.member = member
         self.keeper = keeper
         self.in_flight = 0
@@ -180,7 +180,7 @@
 
     def add(self, member: messages.Announce) -> Target:
         """Open a link to a member."""
-        keeper = LinkKeeper(
+        keeper = ReconnectingLink(
             [Address.from_text(member.address)],
             self.identity,
             self.handler,
--- a/src/wisteriapulley/platform/control_calls.py
+++ b/src/wisteriapulley/platform/control_calls.py
@@ -22,10 +22,13 @@
 log = logging.getLogger(__name__)
 
 # Thousands of routes; far above what an operator sends.
-MOST_BODY_BYTES = 16 << 20
-EMPTY = b"{}"
+MAX_BODY_BYTES = 16 << 20
+EMPTY_JSON = b"{}"
 # What is invalid in itself, however often it is sent.
-FINAL_CODES = (ResultCode.CATALOGUE_ENTRY_INVALID, ResultCode.HEARTBEAT_INVALID)
+PERMANENT_ERROR_CODES = (
+    ResultCode.CATALOGUE_ENTRY_INVALID,
+    ResultCode.HEARTBEAT_INVALID,
+)
 
 
 class ControlCalls:
@@ -33,14 +36,12 @@
 
     def __init__(self, orders: Orders):
         self.orders = orders
-        app = web.Application(
-            middlewares=[coded_errors], client_max_size=MOST_BODY_BYTES
-        )
+        app = web.Application(middlewares=[map_errors], client_max_size=MAX_BODY_BYTES)
         app.add_routes(
             [
                 web.post(names.REPLACE_CALL, self.replace),
                 web.get(names.READ_CALL, self.read),
-                web.post(names.WEIGHTS_CALL, self.weights),
+                web.post(names.WEIGHTS_CALL, self.set_desired_version),
                 web.post(names.HEARTBEAT_CALL, self.heartbeat),
                 web.post(names.LEAVE_CALL, self.leave),
             ]
@@ -72,38 +73,38 @@
         """Put a configuration in force."""
         body = await request.read()
         await self.orders.replace_routing(decode_configuration(body), body)
-        return acknowledged()
+        return ack_response()
 
     async def read(self, request: web.Request) -> web.Response:
         """Return the configuration in force."""
         body = await self.orders.read_routing()
         return web.Response(body=body, content_type="application/json")
 
-    async def weights(self, request: web.Request) -> web.Response:
+    async def set_desired_version(self, request: web.Request) -> web.Response:
         """Name weights."""
         wire = decode_weights(await request.read())
         await self.orders.name_weights(wire.model, wire.version)
-        return acknowledged()
+        return ack_response()
 
     async def heartbeat(self, request: web.Request) -> web.Response:
         """Take a target's heartbeat."""
         target_id = request.match_info["target_id"]
         self.orders.heard(decode_heartbeat(target_id, await request.read()))
-        return acknowledged()
+        return ack_response()
 
     async def leave(self, request: web.Request) -> web.Response:
         """Take a target's word that it ends."""
         self.orders.left(request.match_info["target_id"])
-        return acknowledged()
+        return ack_response()
 
 
-def acknowledged() -> web.Response:
+def ack_response() -> web.Response:
     """Make the answer to a call that was taken."""
-    return web.Response(body=EMPTY, content_type="application/json")
+    return web.Response(body=EMPTY_JSON, content_type="application/json")
 
 
 @web.middleware
-async def coded_errors(request: web.Request, handler) -> web.StreamResponse:
+async def map_errors(request: web.Request, handler) -> web.StreamResponse:
     """Answer errors: 400 for what never can be taken, 503 for anything else.
 
     A caller whose call was not acknowledged sends it again, so only what is
@@ -112,9 +113,9 @@
     try:
         return await handler(request)
     except CatalogueError as error:
-        final = error.code in FINAL_CODES
+        is_permanent = error.code in PERMANENT_ERROR_CODES
         log.warning("call refused: %s", error)
-        return web.Response(status=400 if final else 503, text=f"{error}\n")
+        return web.Response(status=400 if is_permanent else 503, text=f"{error}\n")
     except (WisteriapulleyError, TimeoutError) as error:
         log.info("call not acknowledged: %s", error)
         return web.Response(
--- a/src/wisteriapulley/platform/daemons.py
+++ b/src/wisteriapulley/platform/daemons.py
@@ -84,11 +84,13 @@
     from wisteriapulley.platform.http import HttpClient
     from wisteriapulley.rollout.service import RolloutService
 
-    own = settings.rollout(key_file)
-    return RolloutService(own, HttpEngine(HttpClient(), own.target))
+    sidecar_settings = settings.rollout(key_file)
+    return RolloutService(
+        sidecar_settings, HttpEngine(HttpClient(), sidecar_settings.target)
+    )
 
 
-DAEMONS = {"control": new_control, "entry": new_entry, "sidecar": new_sidecar}
+DAEMON_FACTORIES = {"control": new_control, "entry": new_entry, "sidecar": new_sidecar}
 
 
 async def run(role: str, settings: PlatformSettings, key_file: str) -> None:
@@ -103,7 +105,7 @@
     from wisteriapulley.logs import fields
     from wisteriapulley.settings_watch import SettingsWatch
 
-    service = DAEMONS[role](settings, key_file)
+    service = DAEMON_FACTORIES[role](settings, key_file)
     watch = SettingsWatch(
         os.environ[SETTINGS_VARIABLE],
         settings,
@@ -145,7 +147,7 @@
         logs.configure(settings.node_name)
         if role == "entry" and settings.counts_as_loss:
             # The host has a disk, so a control instance runs beside this entry.
-            wait_for_listener(settings.control_wire())
+            wait_for_listener(settings.control_wire_address())
         run_until_stopped(role, settings, key_file)
     except WisteriapulleyError as error:
         print(error, file=sys.stderr)
--- a/src/wisteriapulley/platform/documents.py
+++ b/src/wisteriapulley/platform/documents.py
@@ -20,7 +20,7 @@
 from wisteriapulley.settings import Address
 from wisteriapulley.wire.messages import TargetState
 
-KINDS = {
+ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAM,
@@ -174,19 +174,19 @@
         ) from error
     return RoutingTable(
         wire.version,
-        tuple(map(route_of, wire.routes)),
-        tuple(map(service_of, wire.services)),
+        tuple(map(to_route, wire.routes)),
+        tuple(map(to_service, wire.services)),
         tuple(Account(t.name, tuple(t.api_keys), t.priority) for t in wire.tenants),
         EdgeLimits(*msgspec.structs.astuple(wire.limits)),
     )
 
 
-def route_of(wire: WireRoute) -> Route:
+def to_route(wire: WireRoute) -> Route:
     """Read a route."""
-    if wire.kind not in KINDS:
+    if wire.kind not in ROUTE_KINDS:
         raise CatalogueError(
             ResultCode.CATALOGUE_ENTRY_INVALID,
-            f"route {wire.name!r}: expected a kind of {sorted(KINDS)}, got"
+            f"route {wire.name!r}: expected a kind of {sorted(ROUTE_KINDS)}, got"
             f" {wire.kind!r}",
         )
     if wire.traffic_split is not None:
@@ -197,7 +197,7 @@
         wire.name,
         wire.host.lower(),
         wire.path_prefix,
-        KINDS[wire.kind],
+        ROUTE_KINDS[wire.kind],
         splits,
         wire.timeout_ms,
         wire.target_latency_ms,
@@ -209,20 +209,20 @@
     )
 
 
-def service_of(wire: WireService) -> Service:
+def to_service(wire: WireService) -> Service:
     """Read a service."""
     origin = None
     if wire.origin:
         origin = Origin(wire.origin, wire.zone, wire.link_mbps, wire.max_connections)
     engine = None
     if wire.engine is not None and wire.engine.models:
-        engine = engine_of(wire.engine)
+        engine = to_engine(wire.engine)
     return Service(
         wire.name, wire.health_check_path, wire.max_connections, engine, origin
     )
 
 
-def engine_of(wire: WireEngine) -> Engine:
+def to_engine(wire: WireEngine) -> Engine:
     """Read the figures of engines."""
     return Engine(
         wire.models[0].name,
--- a/src/wisteriapulley/platform/engine.py
+++ b/src/wisteriapulley/platform/engine.py
@@ -8,13 +8,13 @@
 from wisteriapulley.errors import ResultCode, WeightsError
 from wisteriapulley.platform import names
 from wisteriapulley.platform.http import HttpClient
-from wisteriapulley.platform.statements import parse_statements
+from wisteriapulley.platform.signal_parsing import parse_signals
 from wisteriapulley.policy.response_signals import CooldownTracker, ResponseSignals
 from wisteriapulley.rollout.engine import EngineReport, OrderOutcome
 from wisteriapulley.settings import Address
 
 # The engine is on the same instance: a call that takes longer hangs.
-CALL_S = 2.0
+CALL_TIMEOUT_S = 2.0
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
 
@@ -70,17 +70,17 @@
 
     def __init__(self, http: HttpClient, address: Address):
         self.http = http
-        self.base = f"http://{address}"
+        self.base_url = f"http://{address}"
         self.cooldown = CooldownTracker()
 
     async def call(
         self, method: str, path: str, **options: object
     ) -> tuple[int, bytes]:
         """Make one call; see `answer`."""
-        status, body, _ = await self.answer(method, path, **options)
+        status, body, _ = await self.call_with_signals(method, path, **options)
         return status, body
 
-    async def answer(
+    async def call_with_signals(
         self, method: str, path: str, **options: object
     ) -> tuple[int, bytes, ResponseSignals]:
         """Make one call; return status, body and what the engine says of itself.
@@ -93,12 +93,12 @@
         loop = asyncio.get_running_loop()
         if self.cooldown.wait_s(loop.time()):
             raise unavailable(path, "it asked for rest")
-        timeout = aiohttp.ClientTimeout(total=CALL_S)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
-            async with self.http.kept.request(
-                method, self.base + path, timeout=timeout, **options
+            async with self.http.pooled.request(
+                method, self.base_url + path, timeout=timeout, **options
             ) as response:
-                says = parse_statements(response.status, response.headers)
+                says = parse_signals(response.status, response.headers)
                 self.cooldown.observe(says.cooldown, loop.time())
                 return response.status, await response.read(), says
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
@@ -106,7 +106,7 @@
 
     async def report(self) -> EngineReport:
         """Return the engine's state."""
-        status, body, says = await self.answer("GET", names.REPORT_CALL)
+        status, body, says = await self.call_with_signals("GET", names.REPORT_CALL)
         if status != HTTP_OK:
             raise unavailable(names.REPORT_CALL, f"status {status}")
         try:
@@ -161,6 +161,6 @@
     return EngineReport(versions, wire.busy, wire.running, wire.waiting, wire.born)
 
 
-def unavailable(path: str, why: str) -> WeightsError:
+def unavailable(path: str, reason: str) -> WeightsError:
     """Make the error for an engine that does not answer as it should."""
-    return WeightsError(ResultCode.SOURCE_UNAVAILABLE, f"engine {path}: {why}")
+    return WeightsError(ResultCode.SOURCE_UNAVAILABLE, f"engine {path}: {reason}")
--- a/src/wisteriapulley/platform/http.py
+++ b/src/wisteriapulley/platform/http.py
@@ -7,9 +7,9 @@
 
 # A connection within a region takes a millisecond; a host without power answers
 # nothing, and the request then still has time for another target.
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 # Below the time after which targets close idle connections.
-KEPT_S = 4.0
+KEEPALIVE_S = 4.0
 DEFAULT_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 NO_LIMIT = 0
 
@@ -33,22 +33,22 @@
     """Sessions on one pool of kept connections, and on none."""
 
     def __init__(self):
-        self.kept = new_session(force_close=False)
-        self.fresh = new_session(force_close=True)
+        self.pooled = new_session(force_close=False)
+        self.unpooled = new_session(force_close=True)
 
     def session(self, fresh: bool) -> aiohttp.ClientSession:
         """Return the session that keeps connections, or the one that does not."""
-        return self.fresh if fresh else self.kept
+        return self.unpooled if fresh else self.pooled
 
     async def close(self) -> None:
         """Close all connections."""
-        await self.kept.close()
-        await self.fresh.close()
+        await self.pooled.close()
+        await self.unpooled.close()
 
 
 def new_session(force_close: bool) -> aiohttp.ClientSession:
     """Make a session that changes nothing of what it sends and receives."""
-    options = {} if force_close else {"keepalive_timeout": KEPT_S}
+    options = {} if force_close else {"keepalive_timeout": KEEPALIVE_S}
     connector = aiohttp.TCPConnector(
         limit=NO_LIMIT, limit_per_host=NO_LIMIT, force_close=force_close, **options
     )
@@ -58,7 +58,7 @@
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
         skip_auto_headers=DEFAULT_HEADERS,
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
+        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         max_line_size=65536,
         max_field_size=65536,
     )
--- a/src/wisteriapulley/platform/ingress.py
+++ b/src/wisteriapulley/platform/ingress.py
@@ -21,13 +21,13 @@
 log = logging.getLogger(__name__)
 
 # Above what the operator's limits allow, so that they decide.
-MOST_HEADER_BYTES = 65536
+MAX_HEADER_BYTES = 65536
 # Kept connections may rest longer than the operator's limit lets callers use them.
-KEPT_S = 75.0
+KEEPALIVE_S = 75.0
 # For connections that are left after all requests have ended.
-CLOSE_S = 0.2
-DEFAULT_PATIENCE_MS = 30_000
-STATUS = {
+CLOSE_TIMEOUT_S = 0.2
+DEFAULT_MAX_WAIT_MS = 30_000
+STATUS_BY_REFUSAL = {
     RefusalKind.NO_ROUTE: 404,
     RefusalKind.BAD_KEY: 401,
     RefusalKind.OVERLOADED: 503,
@@ -38,7 +38,9 @@
     RefusalKind.TIMED_OUT: 504,
 }
 
-Serve = Callable[[CallerRequest, "HttpCallerAnswer"], Awaitable[Refusal | None]]
+RequestHandler = Callable[
+    [CallerRequest, "HttpCallerAnswer"], Awaitable[Refusal | None]
+]
 
 
 class HttpCallerAnswer:
@@ -86,7 +88,7 @@
         if refusal.retry_s:
             headers.append(("Retry-After", f"{refusal.retry_s:.3f}"))
         body = f"{refusal.kind.value}: {refusal.reason}\n".encode()
-        await self.start(STATUS[refusal.kind], tuple(headers), len(body))
+        await self.start(STATUS_BY_REFUSAL[refusal.kind], tuple(headers), len(body))
         await self.write(body)
         await self.finish()
 
@@ -102,9 +104,9 @@
         Longest body that is read.
     """
 
-    def __init__(self, serve: Serve, most_body_bytes: int):
+    def __init__(self, serve: RequestHandler, max_body_bytes: int):
         self.serve = serve
-        self.most_body_bytes = most_body_bytes
+        self.max_body_bytes = max_body_bytes
         self.closing = False
         self.active: set[object] = set()
         self.runner: web.ServerRunner | None = None
@@ -123,14 +125,14 @@
             request_factory=self.new_request,
             handler_cancellation=True,
             access_log=None,
-            keepalive_timeout=KEPT_S,
-            max_line_size=MOST_HEADER_BYTES,
-            max_field_size=MOST_HEADER_BYTES,
+            keepalive_timeout=KEEPALIVE_S,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
             auto_decompress=False,
         )
         self.server = server
         self.runner = web.ServerRunner(
-            server, handle_signals=False, shutdown_timeout=CLOSE_S
+            server, handle_signals=False, shutdown_timeout=CLOSE_TIMEOUT_S
         )
         await self.runner.setup()
         self.site = web.TCPSite(self.runner, address.host, address.port, backlog=512)
@@ -151,7 +153,7 @@
             writer,
             task,
             loop,
-            client_max_size=self.most_body_bytes,
+            client_max_size=self.max_body_bytes,
         )
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -173,7 +175,7 @@
             self.active.discard(request.protocol)
         return answer.response or web.StreamResponse(status=500)
 
-    async def drain(self, listen_s: float, most_s: float) -> None:
+    async def drain(self, accept_s: float, max_s: float) -> None:
         """Finish what is in progress, then close.
 
         Parameters
@@ -186,8 +188,8 @@
         """
         self.closing = True
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + most_s
-        await asyncio.sleep(listen_s)
+        until_s = loop.time() + max_s
+        await asyncio.sleep(accept_s)
         await self.site.stop()
         close_idle(self.server, self.active)
         while self.active and loop.time() < until_s:
@@ -203,31 +205,37 @@
     """Read a request into the product's type."""
     headers = request.headers
     target = request._message.path
-    prompt, most = parse_sizes(headers.get(names.SIZES, ""))
-    expected = parse_count(headers.get(names.EXPECTED_LENGTH, ""))
-    answer = min(expected, most) if expected and most else expected or most
+    prompt_tokens, max_answer_tokens = parse_token_counts(
+        headers.get(names.TOKEN_COUNTS, "")
+    )
+    hinted_tokens = parse_count(headers.get(names.LENGTH_HINT, ""))
+    answer_tokens = (
+        min(hinted_tokens, max_answer_tokens)
+        if hinted_tokens and max_answer_tokens
+        else hinted_tokens or max_answer_tokens
+    )
     return CallerRequest(
         headers.get(names.REQUEST_ID, ""),
         request.method,
         target,
-        host_of(headers.get("Host", "")),
+        parse_host(headers.get("Host", "")),
         target.partition("?")[0],
-        passed_on(request),
+        forwarded_headers(request),
         body,
-        key_of(headers.get("Authorization", "")),
+        parse_api_key(headers.get("Authorization", "")),
         asyncio.get_running_loop().time(),
-        patience_ms(headers.get(names.TIME_LEFT, "")) / 1000,
-        prompt,
-        answer,
+        parse_max_wait_ms(headers.get(names.DEADLINE_MS, "")) / 1000,
+        prompt_tokens,
+        answer_tokens,
         headers.get(names.LAST_EVENT, ""),
     )
 
 
-def passed_on(request: web.BaseRequest) -> Headers:
+def forwarded_headers(request: web.BaseRequest) -> Headers:
     """Return the headers that go on to the target, as they came."""
-    named = request.headers.get("Connection", "").lower()
-    dropped = names.CONNECTION_HEADERS | names.OWN_HEADERS
-    dropped |= {token.strip() for token in named.split(",")}
+    connection_header = request.headers.get("Connection", "").lower()
+    dropped = names.CONNECTION_HEADERS | names.ENTRY_HEADERS
+    dropped |= {token.strip() for token in connection_header.split(",")}
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in request.raw_headers
@@ -235,24 +243,26 @@
     )
 
 
-def host_of(header: str) -> str:
+def parse_host(header: str) -> str:
     """Return the host without its port."""
     return header.rpartition(":")[0].lower() if ":" in header else header.lower()
 
 
-def key_of(header: str) -> str:
+def parse_api_key(header: str) -> str:
     """Return the key of an authorization header; empty for another scheme."""
     return (
-        header[len(names.KEY_SCHEME) :] if header.startswith(names.KEY_SCHEME) else ""
+        header[len(names.BEARER_PREFIX) :]
+        if header.startswith(names.BEARER_PREFIX)
+        else ""
     )
 
 
-def patience_ms(text: str) -> float:
+def parse_max_wait_ms(text: str) -> float:
     """Read how long the caller waits; a default where it does not say."""
     try:
         return max(0.0, float(text))
     except ValueError:
-        return DEFAULT_PATIENCE_MS
+        return DEFAULT_MAX_WAIT_MS
 
 
 def parse_count(text: str) -> int:
@@ -263,7 +273,7 @@
         return 0
 
 
-def parse_sizes(text: str) -> tuple[int, int]:
+def parse_token_counts(text: str) -> tuple[int, int]:
     """Read prompt and answer tokens; 0 where they can't be read."""
     try:
         prompt, answer = map(int, text.split(","))
--- a/src/wisteriapulley/platform/names.py
+++ b/src/wisteriapulley/platform/names.py
@@ -3,30 +3,30 @@
 # Headers of requests and answers.
 REQUEST_ID = "X-Request-Attempt-Id"
 # Milliseconds that the sender still waits.
-TIME_LEFT = "X-Deadline-Ms"
+DEADLINE_MS = "X-Deadline-Ms"
 # Incarnation that must be at the address.
 EXPECTED_TARGET = "X-Expect-Instance"
 EXPECTED_VERSION = "X-Expect-Version"
 ACCOUNT = "X-Tenant"
 # Prompt tokens and most answer tokens, separated by a comma.
-SIZES = "X-Token-Counts"
+TOKEN_COUNTS = "X-Token-Counts"
 # The caller's estimate of the answer's tokens: right in the median, often far off.
-EXPECTED_LENGTH = "X-Length-Hint"
+LENGTH_HINT = "X-Length-Hint"
 LAST_EVENT = "Last-Event-Id"
 NOT_RUN = "X-Not-Executed"
 # Running, waiting and slots, separated by commas.
 LOAD = "X-Server-Load"
 # Requests a second that the target takes from all senders together.
-RATE = "Server-Limit"
+RATE_LIMIT = "Server-Limit"
 # Seconds for which a target that is unavailable wants nothing from who it answers.
-REST = "Retry-After"
+RETRY_AFTER = "Retry-After"
 # Whether the target is about to end.
 LEAVING = "Server-Leaving"
-IS_LEAVING = "1"
+LEAVING_VALUE = "1"
 DATE = "Date"
-KEY_SCHEME = "Bearer "
+BEARER_PREFIX = "Bearer "
 
-OTHER_INSTANCE_STATUS = 421
+MISDIRECTED_STATUS = 421
 UNAVAILABLE_STATUS = 503
 
 # Headers of one connection: never passed on.
@@ -46,7 +46,7 @@
     }
 )
 # Headers of a request that the entry sets or reads itself.
-OWN_HEADERS = frozenset(
+ENTRY_HEADERS = frozenset(
     {
         "authorization",
         "x-tenant",
--- a/src/wisteriapulley/platform/origin.py
+++ b/src/wisteriapulley/platform/origin.py
@@ -9,8 +9,8 @@
 from wisteriapulley.weights.pieces import PieceManifest
 
 # A piece takes 26 ms of the origin's link; more callers than one share it.
-PIECE_S = 0.7
-MANIFEST_S = 1.5
+PIECE_TIMEOUT_S = 0.7
+MANIFEST_TIMEOUT_S = 1.5
 HTTP_OK = 200
 
 
@@ -30,9 +30,9 @@
 
     def __init__(self, http: HttpClient, address: str):
         self.http = http
-        self.base = f"http://{address}"
+        self.base_url = f"http://{address}"
 
-    async def get(self, path: str, limit_s: float) -> bytes:
+    async def get(self, path: str, timeout_s: float) -> bytes:
         """Make one call.
 
         Raises
@@ -40,9 +40,11 @@
         WeightsError
             SOURCE_UNAVAILABLE.
         """
-        timeout = aiohttp.ClientTimeout(total=limit_s)
+        timeout = aiohttp.ClientTimeout(total=timeout_s)
         try:
-            async with self.http.kept.get(self.base + path, timeout=timeout) as answer:
+            async with self.http.pooled.get(
+                self.base_url + path, timeout=timeout
+            ) as answer:
                 body = await answer.read()
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             raise unavailable(path, repr(error)) from error
@@ -55,7 +57,7 @@
         path = names.MANIFEST_CALL.format(model=model)
         if version:
             path += f"?version={version}"
-        body = await self.get(path, MANIFEST_S)
+        body = await self.get(path, MANIFEST_TIMEOUT_S)
         try:
             wire = msgspec.json.decode(body, type=WireManifest)
             digests = tuple(map(bytes.fromhex, wire.digests))
@@ -69,9 +71,9 @@
         """Return a piece, not verified."""
         path = names.PIECE_CALL.format(model=model)
         path += f"?quantity={position}&version={version}"
-        return await self.get(path, PIECE_S)
+        return await self.get(path, PIECE_TIMEOUT_S)
 
 
-def unavailable(path: str, why: str) -> WeightsError:
+def unavailable(path: str, reason: str) -> WeightsError:
     """Make the error for an origin that does not answer as it should."""
-    return WeightsError(ResultCode.SOURCE_UNAVAILABLE, f"origin {path}: {why}")
+    return WeightsError(ResultCode.SOURCE_UNAVAILABLE, f"origin {path}: {reason}")
--- a/src/wisteriapulley/platform/settings.py
+++ b/src/wisteriapulley/platform/settings.py
@@ -12,12 +12,12 @@
 # Ports of our own within the range that the platform leaves to us. Two of our
 # processes may share a host, so each purpose has its own; they are the same on
 # every host.
-CONTROL_WIRE = 0
-SIDECAR_WIRE = 1
+CONTROL_WIRE_PORT_OFFSET = 0
+SIDECAR_WIRE_PORT_OFFSET = 1
 # Ports of the metrics of each daemon: fixed, since the deploy file names them.
-CONTROL_HTTP = 9102
-ENTRY_HTTP = 9101
-SIDECAR_HTTP = 9103
+CONTROL_HTTP_PORT = 9102
+ENTRY_HTTP_PORT = 9101
+SIDECAR_HTTP_PORT = 9103
 
 # A peer that is silent for a second is away, and the platform wants news in force
 # within two. Three heartbeats fit in the time of silence; an entry of a large fleet
@@ -30,9 +30,9 @@
 LEASE_MS = 400
 RAFT_HEARTBEAT_MS = 100
 # Targets that miss so many of their heartbeats are forgotten.
-TARGET_HEARTBEATS = 6
+TARGET_LEASE_HEARTBEATS = 6
 # Left of the platform's grace after a stop signal for our own closing.
-GRACE_SHARE = 0.9
+DRAIN_FRACTION = 0.9
 
 
 class Listen(msgspec.Struct, rename="kebab"):
@@ -112,17 +112,17 @@
                 ResultCode.SETTINGS_INVALID, f"{path}: {error}"
             ) from error
 
-    def own(self, port: int) -> Address:
+    def internal_address(self, port_offset: int) -> Address:
         """Return an address of our own on this host."""
-        return Address(self.ip_address, self.internal_port_range[0] + port)
+        return Address(self.ip_address, self.internal_port_range[0] + port_offset)
 
-    def control_wire(self) -> Address:
+    def control_wire_address(self) -> Address:
         """Return where a control instance on this host takes links."""
-        return self.own(CONTROL_WIRE)
+        return self.internal_address(CONTROL_WIRE_PORT_OFFSET)
 
     def seeds(self) -> tuple[Address, ...]:
         """Return the wire addresses of the control instances to begin with."""
-        port = self.internal_port_range[0] + CONTROL_WIRE
+        port = self.internal_port_range[0] + CONTROL_WIRE_PORT_OFFSET
         hosts = (seed.rpartition(":")[0] for seed in self.seed_nodes)
         return tuple(Address(host, port) for host in hosts)
 
@@ -134,7 +134,7 @@
             "fleet_key_file": key_file,
             "heartbeat_ms": HEARTBEAT_MS,
             "silence_ms": SILENCE_MS,
-            "drain_ms": int(self.bounds.grace_period_s * 1000 * GRACE_SHARE),
+            "drain_ms": int(self.bounds.grace_period_s * 1000 * DRAIN_FRACTION),
             "failure_domain_regions": self.zones,
         }
 
@@ -142,7 +142,7 @@
         """Make the settings of a control instance; its host names it."""
         return ControlSettings(
             node_id=self.ip_address,
-            wire_listen=self.control_wire(),
+            wire_listen=self.control_wire_address(),
             data_folder=self.data_directory,
             operators_file="",
             election_ms=ELECTION_MS,
@@ -151,8 +151,8 @@
             seeds=self.seeds(),
             found_with_seeds=self.bootstrap,
             voters=2 * self.fault_tolerance.machines + 1,
-            target_lease_ms=TARGET_HEARTBEATS * self.heartbeat_interval_ms,
-            **self.common(CONTROL_HTTP, key_file),
+            target_lease_ms=TARGET_LEASE_HEARTBEATS * self.heartbeat_interval_ms,
+            **self.common(CONTROL_HTTP_PORT, key_file),
         )
 
     def direct(self, key_file: str) -> DirectSettings:
@@ -163,23 +163,23 @@
             listen=Address.from_text(self.listen_addresses.frontend),
             ready_listen=Address.from_text(self.listen_addresses.readiness),
             control=self.seeds(),
-            sidecar_port=self.internal_port_range[0] + SIDECAR_WIRE,
+            sidecar_port=self.internal_port_range[0] + SIDECAR_WIRE_PORT_OFFSET,
             old_version_ms=bounds.version_ms,
             retry_ratio=bounds.retry_budget_ratio,
             retry_slack=bounds.retry_budget_slack,
             retry_window_s=bounds.budget_window_s,
-            **self.common(ENTRY_HTTP, key_file),
+            **self.common(ENTRY_HTTP_PORT, key_file),
         )
 
     def rollout(self, key_file: str) -> RolloutSettings:
         """Make the settings of a sidecar."""
         return RolloutSettings(
             node_id=f"sidecar-{self.node_name}",
-            wire_listen=self.own(SIDECAR_WIRE),
+            wire_listen=self.internal_address(SIDECAR_WIRE_PORT_OFFSET),
             control=self.seeds(),
             target=Address.from_text(self.app),
             service=self.service,
             link_mbps=self.limits.link_mbps,
             old_version_ms=self.bounds.version_ms,
-            **self.common(SIDECAR_HTTP, key_file),
+            **self.common(SIDECAR_HTTP_PORT, key_file),
         )
--- a/src/wisteriapulley/platform/statements.py
+++ b/src/wisteriapulley/platform/signal_parsing.py
@@ -20,10 +20,10 @@
 DECIMAL = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
 # A longer rest counts as this one, in seconds: what is that far away is more likely
 # a mistake than a plan, and a target that means it says so again.
-MOST_REST_S = 86_400.0
+MAX_COOLDOWN_S = 86_400.0
 
 
-def parse_statements(status: int, headers: HttpHeaders) -> ResponseSignals:
+def parse_signals(status: int, headers: HttpHeaders) -> ResponseSignals:
     """Read all that an answer says of its target.
 
     Parameters
@@ -35,9 +35,9 @@
     """
     return ResponseSignals(
         parse_load(headers.get(names.LOAD, "")),
-        parse_rate(headers.getall(names.RATE, [])),
-        parse_rest(status, headers),
-        names.IS_LEAVING in headers.getall(names.LEAVING, []),
+        parse_rate(headers.getall(names.RATE_LIMIT, [])),
+        parse_cooldown(status, headers),
+        names.LEAVING_VALUE in headers.getall(names.LEAVING, []),
     )
 
 
@@ -51,16 +51,16 @@
 
 def parse_rate(texts: list[str]) -> AdvertisedRate:
     """Read a target's stated rate; of several the lowest one that can be read."""
-    rates, unreadable = [], ""
+    rates, invalid_text = [], ""
     for text in texts:
         if DECIMAL.fullmatch(text) and math.isfinite(float(text)):
             rates.append(float(text))
         else:
-            unreadable = text
-    return AdvertisedRate(min(rates, default=None), unreadable)
+            invalid_text = text
+    return AdvertisedRate(min(rates, default=None), invalid_text)
 
 
-def parse_rest(status: int, headers: HttpHeaders) -> RequestedCooldown:
+def parse_cooldown(status: int, headers: HttpHeaders) -> RequestedCooldown:
     """Read the rest that a target asks for; of several the longest one.
 
     Only a refusal for the target's own state counts: with other statuses the header
@@ -68,18 +68,18 @@
     """
     if status != names.UNAVAILABLE_STATUS:
         return RequestedCooldown()
-    answered = headers.get(names.DATE, "")
-    rests, unreadable = [], ""
-    for text in headers.getall(names.REST, []):
-        rest_s = parse_seconds(text, answered)
-        if rest_s is None:
-            unreadable = text
+    response_date = headers.get(names.DATE, "")
+    cooldowns, invalid_text = [], ""
+    for text in headers.getall(names.RETRY_AFTER, []):
+        cooldown_s = parse_seconds(text, response_date)
+        if cooldown_s is None:
+            invalid_text = text
         else:
-            rests.append(min(MOST_REST_S, rest_s))
-    return RequestedCooldown(max(rests, default=0.0), unreadable)
+            cooldowns.append(min(MAX_COOLDOWN_S, cooldown_s))
+    return RequestedCooldown(max(cooldowns, default=0.0), invalid_text)
 
 
-def parse_seconds(text: str, answered: str) -> float | None:
+def parse_seconds(text: str, response_date: str) -> float | None:
     """Read a time as seconds or as a date; None where it is neither.
 
     A date counts from the answer's own, so that the target's clock need not agree
@@ -96,6 +96,6 @@
         return float(text)
     try:
         until = parsedate_to_datetime(text)
-        return max(0.0, (until - parsedate_to_datetime(answered)).total_seconds())
+        return max(0.0, (until - parsedate_to_datetime(response_date)).total_seconds())
     except (TypeError, ValueError, IndexError, OverflowError):
         return None
--- a/src/wisteriapulley/platform/target_client.py
+++ b/src/wisteriapulley/platform/target_client.py
@@ -15,9 +15,9 @@
 )
 from wisteriapulley.platform import names
 from wisteriapulley.platform.http import HttpClient
-from wisteriapulley.platform.statements import parse_statements
+from wisteriapulley.platform.signal_parsing import parse_signals
 
-NOT_CONNECTED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
 class HttpTargetClient:
@@ -37,12 +37,12 @@
                 data=request.body or None,
                 allow_redirects=False,
             )
-        except NOT_CONNECTED as error:
+        except CONNECT_ERRORS as error:
             raise NotSentError(str(error)) from error
         except (aiohttp.ClientError, OSError, ValueError) as error:
             raise BrokenAnswerError(repr(error)) from error
         answer = HttpTargetAnswer(response)
-        if not answer.belongs_to(request.request_id):
+        if not answer.matches_request(request.request_id):
             answer.close()
             raise BrokenAnswerError("the answer belongs to another request")
         return answer
@@ -54,14 +54,14 @@
     def __init__(self, response: aiohttp.ClientResponse):
         self.response = response
         self.status = response.status
-        self.headers = answer_headers(response)
+        self.headers = forwarded_headers(response)
         self.length = response.content_length
-        told = response.headers.get(names.NOT_RUN, "")
-        self.other_instance = response.status == names.OTHER_INSTANCE_STATUS
-        self.not_run = bool(told) or self.other_instance
-        self.signals = parse_statements(response.status, response.headers)
+        not_run = response.headers.get(names.NOT_RUN, "")
+        self.other_instance = response.status == names.MISDIRECTED_STATUS
+        self.not_run = bool(not_run) or self.other_instance
+        self.signals = parse_signals(response.status, response.headers)
 
-    def belongs_to(self, request_id: str) -> bool:
+    def matches_request(self, request_id: str) -> bool:
         """Tell whether the answer names the request; refusals need not."""
         echoed = self.response.headers.get(names.REQUEST_ID)
         return echoed == request_id or (echoed is None and self.not_run)
@@ -83,7 +83,7 @@
 def request_headers(request: CallerRequest, plan: SendPlan) -> CIMultiDict:
     """Make the headers of a request to a target."""
     headers = CIMultiDict(request.headers)
-    headers[names.TIME_LEFT] = str(int(plan.remaining_s * 1000))
+    headers[names.DEADLINE_MS] = str(int(plan.remaining_s * 1000))
     headers[names.EXPECTED_TARGET] = plan.target_id
     if plan.account:
         headers[names.ACCOUNT] = plan.account
@@ -94,7 +94,7 @@
     return headers
 
 
-def answer_headers(response: aiohttp.ClientResponse) -> Headers:
+def forwarded_headers(response: aiohttp.ClientResponse) -> Headers:
     """Return the headers that are passed on to the caller."""
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
--- a/src/wisteriapulley/rollout/admission.py
+++ b/src/wisteriapulley/rollout/admission.py
@@ -120,7 +120,7 @@
         """
         self.load_report_timer = None
         for link in self.near_links():
-            link.beat()
+            link.send_heartbeat()
 
     def limited_for_s(self) -> float:
         """Return how long the engine accepts no requests; 0 if it does now."""
@@ -264,7 +264,7 @@
 
     def link_opened(self, link: Link) -> None:
         """Skip heartbeats on the link while load reports already act as such."""
-        link.sparing = True
+        link.skips_redundant_heartbeats = True
 
     def link_closed(self, link: Link) -> None:
         """Release the slots and queued requests of an entry that disconnected."""
--- a/src/wisteriapulley/sidecar/answers.py
+++ b/src/wisteriapulley/sidecar/answers.py
@@ -66,7 +66,7 @@
         try:
             offset = crc = 0
             async for data in parts:
-                await window.take(len(data))
+                await window.consume(len(data))
                 part = messages.AnswerPart(request_id, offset)
                 link.post(part, reply_to=frame.id, body=data)
                 offset += len(data)
--- a/src/wisteriapulley/sidecar/neighbours.py
+++ b/src/wisteriapulley/sidecar/neighbours.py
@@ -8,8 +8,8 @@
 from wisteriapulley.weights.swarm import Swarm
 from wisteriapulley.wire import Link, messages
 from wisteriapulley.wire.handshake import Identity
-from wisteriapulley.wire.keeper import LinkKeeper
 from wisteriapulley.wire.link import Handler
+from wisteriapulley.wire.reconnect import ReconnectingLink
 
 
 class RequestTrafficMeter:
@@ -71,7 +71,7 @@
         self.heartbeat = heartbeat
         self.on_heartbeat = on_heartbeat
         self.meter = meter
-        self.keepers: dict[str, tuple[str, LinkKeeper]] = {}
+        self.keepers: dict[str, tuple[str, ReconnectingLink]] = {}
         self.stopping: set[asyncio.Task] = set()
 
     def update_members(self, announced: dict[str, messages.Announce]) -> None:
@@ -96,7 +96,7 @@
 
     def add_keeper(self, name: str, address: str) -> None:
         """Start keeping a link to a neighbour open."""
-        keeper = LinkKeeper(
+        keeper = ReconnectingLink(
             [Address.from_text(address)],
             self.identity,
             self.handler,
--- a/src/wisteriapulley/sidecar/service.py
+++ b/src/wisteriapulley/sidecar/service.py
@@ -143,7 +143,7 @@
         self.leaving = True
         self.chart.fire("leave")
         self.announce()
-        self.server.beat()
+        self.server.send_heartbeats()
         for task in self.tasks:
             task.cancel()
         try:
@@ -194,7 +194,7 @@
         """Publish a new state to entries and control instances."""
         heartbeat = self.heartbeat()
         if heartbeat[:4] != getattr(self, "last_heartbeat", heartbeat[:3])[:4]:
-            self.server.beat()
+            self.server.send_heartbeats()
         self.last_heartbeat = heartbeat
         entry = self.switcher.desired_entry()
         download = self.swarm.download
--- a/src/wisteriapulley/wire/codec.py
+++ b/src/wisteriapulley/wire/codec.py
@@ -23,7 +23,7 @@
 MAGIC = b"WP"
 MAX_MESSAGE_BYTES = 16 << 20
 MAX_BODY_BYTES = 64 << 20
-TRAVERSAL_WORDS = MAX_MESSAGE_BYTES // 4
+TRAVERSAL_LIMIT_WORDS = MAX_MESSAGE_BYTES // 4
 
 
 # A header alone repeats the sender's last heartbeat: most links have nothing new
@@ -33,7 +33,7 @@
 NO_ID = 0
 # Different loads of engines that are remembered encoded, and as many decoded: the
 # requests that run and wait at one of them are some dozens.
-LOADS_KEPT = 512
+LOAD_CACHE_SIZE = 512
 
 
 class Frame(NamedTuple):
@@ -69,7 +69,7 @@
     is_list: bool
 
 
-def camel(name: str) -> str:
+def to_camel_case(name: str) -> str:
     """Turn ``snake_case`` or ``PascalCase`` into ``camelCase``."""
     text = re.sub("_([a-z])", lambda match: match[1].upper(), name)
     return text[0].lower() + text[1:]
@@ -80,7 +80,8 @@
     hints = typing.get_type_hints(kind)
     schema = getattr(SCHEMA, kind.__name__).schema.fields
     return tuple(
-        field_codec(name, hint, schema[camel(name)]) for name, hint in hints.items()
+        field_codec(name, hint, schema[to_camel_case(name)])
+        for name, hint in hints.items()
     )
 
 
@@ -89,7 +90,7 @@
     is_list = typing.get_origin(hint) is tuple
     inner = typing.get_args(hint)[0] if is_list else hint
     element = inner if hasattr(inner, "_fields") else None
-    return FieldCodec(name, camel(name), schema, element, is_list)
+    return FieldCodec(name, to_camel_case(name), schema, element, is_list)
 
 
 CODECS = {
@@ -97,11 +98,11 @@
     for kind in vars(messages).values()
     if isinstance(kind, type) and hasattr(kind, "_fields")
 }
-WIRE_NAMES = {kind: camel(kind.__name__) for kind in CODECS}
+WIRE_NAMES = {kind: to_camel_case(kind.__name__) for kind in CODECS}
 FRAME_FIELDS = SCHEMA.Frame.schema.fields
-ID_FIELD, REPLY_FIELD = FRAME_FIELDS["id"], FRAME_FIELDS["replyTo"]
+ID_FIELD, REPLY_TO_FIELD = FRAME_FIELDS["id"], FRAME_FIELDS["replyTo"]
 # Only these stand in a frame by themselves.
-KINDS: dict[str, type] = {
+FRAME_MESSAGES: dict[str, type] = {
     name: kind
     for kind, name in WIRE_NAMES.items()
     if name in SCHEMA.Frame.schema.union_fields
@@ -160,7 +161,7 @@
     return HEADER.pack(MAGIC, len(payload), len(frame.body)) + payload
 
 
-@functools.lru_cache(LOADS_KEPT)
+@functools.lru_cache(LOAD_CACHE_SIZE)
 def encode_load(load: messages.Load) -> bytes:
     """Encode a load as news.
 
@@ -201,20 +202,20 @@
         The payload is not a valid frame.
     """
     if len(payload) == LOAD_BYTES and not body:
-        return decode_short(payload)
-    return decode_any(payload, body)
+        return decode_cached(payload)
+    return decode_uncached(payload, body)
 
 
-def decode_any(payload: bytes, body: bytes = b"") -> Frame:
+def decode_uncached(payload: bytes, body: bytes = b"") -> Frame:
     """Decode a message that is not remembered; see `decode`."""
     try:
         with SCHEMA.Frame.from_bytes(
-            payload, traversal_limit_in_words=TRAVERSAL_WORDS
+            payload, traversal_limit_in_words=TRAVERSAL_LIMIT_WORDS
         ) as root:
             name = root._which_str()
-            message = read(root._get_by_field(FRAME_FIELDS[name]), KINDS[name])
+            message = read(root._get_by_field(FRAME_FIELDS[name]), FRAME_MESSAGES[name])
             frame_id = root._get_by_field(ID_FIELD)
-            return Frame(frame_id, root._get_by_field(REPLY_FIELD), message, body)
+            return Frame(frame_id, root._get_by_field(REPLY_TO_FIELD), message, body)
     except (capnp.KjException, ValueError, KeyError, UnicodeDecodeError) as error:
         raise WireError(
             ResultCode.FRAME_MALFORMED, f"expected a frame: {error}"
@@ -222,5 +223,5 @@
 
 
 # Frames as short as a load; those with an id of their own hardly ever repeat.
-decode_short = functools.lru_cache(LOADS_KEPT)(decode_any)
+decode_cached = functools.lru_cache(LOAD_CACHE_SIZE)(decode_uncached)
 LOAD_BYTES = len(encode_load(messages.Load())) - HEADER.size
--- a/src/wisteriapulley/wire/flow.py
+++ b/src/wisteriapulley/wire/flow.py
@@ -21,19 +21,19 @@
     """
 
     def __init__(self, size: int = ANSWER_WINDOW_BYTES):
-        self.left = size
-        self.opened = asyncio.Event()
-        self.opened.set()
+        self.available = size
+        self.open_event = asyncio.Event()
+        self.open_event.set()
 
-    async def take(self, size: int) -> None:
+    async def consume(self, size: int) -> None:
         """Wait until the window is open, then take `size` bytes of it."""
-        await self.opened.wait()
-        self.left -= size
-        if self.left <= 0:
-            self.opened.clear()
+        await self.open_event.wait()
+        self.available -= size
+        if self.available <= 0:
+            self.open_event.clear()
 
     def grant(self, size: int) -> None:
         """Open the window by `size` bytes that the reader has consumed."""
-        self.left += size
-        if self.left > 0:
-            self.opened.set()
+        self.available += size
+        if self.available > 0:
+            self.open_event.set()
--- a/src/wisteriapulley/wire/framing.py
+++ b/src/wisteriapulley/wire/framing.py
@@ -26,16 +26,16 @@
 
     def __init__(self, limit: int = 0):
         self.limit = limit
-        self.pieces: deque[bytes] = deque()
+        self.segments: deque[bytes] = deque()
         self.size = 0
         self.lengths: tuple[int, int] | None = None
 
     def feed(self, data: bytes) -> None:
         """Add received bytes."""
-        self.pieces.append(data)
+        self.segments.append(data)
         self.size += len(data)
 
-    def take(self) -> Frame | None:
+    def pop_frame(self) -> Frame | None:
         """Return the next frame, or None while it is not whole.
 
         A header alone is a frame with `KeepAlive`.
@@ -48,17 +48,19 @@
         if self.lengths is None:
             if self.size < codec.HEADER.size:
                 return None
-            self.lengths = self.check(codec.parse_header(self.cut(codec.HEADER.size)))
+            self.lengths = self.check_lengths(
+                codec.parse_header(self.pop_bytes(codec.HEADER.size))
+            )
         message_bytes, body_bytes = self.lengths
         if self.size < message_bytes + body_bytes:
             return None
         self.lengths = None
         if message_bytes + body_bytes == 0:
             return KEEP_ALIVE_FRAME
-        message = self.cut(message_bytes)
-        return codec.decode(message, self.cut(body_bytes) if body_bytes else b"")
+        message = self.pop_bytes(message_bytes)
+        return codec.decode(message, self.pop_bytes(body_bytes) if body_bytes else b"")
 
-    def check(self, lengths: tuple[int, int]) -> tuple[int, int]:
+    def check_lengths(self, lengths: tuple[int, int]) -> tuple[int, int]:
         """Refuse a frame over the limit before its bytes are kept."""
         if self.limit and sum(lengths) > self.limit:
             raise WireError(
@@ -67,22 +69,22 @@
             )
         return lengths
 
-    def cut(self, count: int) -> bytes:
+    def pop_bytes(self, count: int) -> bytes:
         """Remove and return the first `count` bytes.
 
         A long body is joined once and never copied again.
         """
         self.size -= count
-        first = self.pieces[0]
+        first = self.segments[0]
         if len(first) > count:
-            self.pieces[0] = first[count:]
+            self.segments[0] = first[count:]
             return first[:count]
         taken = []
         while count:
-            piece = self.pieces.popleft()
-            if len(piece) > count:
-                self.pieces.appendleft(piece[count:])
-                piece = piece[:count]
-            taken.append(piece)
-            count -= len(piece)
+            segment = self.segments.popleft()
+            if len(segment) > count:
+                self.segments.appendleft(segment[count:])
+                segment = segment[:count]
+            taken.append(segment)
+            count -= len(segment)
         return taken[0] if len(taken) == 1 else b"".join(taken)
--- a/src/wisteriapulley/wire/link.py
+++ b/src/wisteriapulley/wire/link.py
@@ -21,14 +21,14 @@
 
 log = logging.getLogger(__name__)
 
-HANDSHAKE_S = 5.0
+HANDSHAKE_TIMEOUT_S = 5.0
 # A host without power answers nothing: it is asked again soon after it is back.
 # Far above a round trip between regions.
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 # The handshake is read before the peer is known: nothing long is taken.
-HANDSHAKE_BYTES = 4096
+MAX_HANDSHAKE_BYTES = 4096
 # A peer that beats but does not read would grow our buffer without end.
-WRITE_LIMIT_BYTES = 128 << 20
+MAX_WRITE_BUFFER_BYTES = 128 << 20
 Handler = Callable[["Link", Frame], Awaitable[None]]
 
 
@@ -53,22 +53,22 @@
         self.handler = handler
         self.heartbeat = heartbeat
         self.transport: asyncio.Transport | None = None
-        self.buffer = FrameBuffer(HANDSHAKE_BYTES)
-        self.arrived = asyncio.Event()
+        self.buffer = FrameBuffer(MAX_HANDSHAKE_BYTES)
+        self.data_arrived = asyncio.Event()
         self.writable = asyncio.Event()
         self.writable.set()
         self.started = False
         self.peer = Hello()
         self.peer_heartbeat = Heartbeat()
-        self.told_heartbeat = Heartbeat()
+        self.sent_heartbeat = Heartbeat()
         self.ids = itertools.count(1)
         self.calls: dict[int, Call] = {}
         self.tasks: set[asyncio.Task] = set()
-        self.beating: asyncio.Handle | None = None
+        self.heartbeat_timer: asyncio.Handle | None = None
         self.closed = asyncio.Event()
         self.reason: WireError | None = None
         self.last_received = 0.0
-        self.sparing = False
+        self.skips_redundant_heartbeats = False
         self.last_sent = 0.0
         self.bytes_sent = 0
         self.bytes_received = 0
@@ -108,13 +108,13 @@
         else:
             # Nothing is read ahead of the proof but what one read brought.
             self.transport.pause_reading()
-            self.arrived.set()
+            self.data_arrived.set()
 
     def receive_all(self) -> None:
         """Route every whole frame that has arrived."""
         try:
             while not self.closed.is_set():
-                frame = self.buffer.take()
+                frame = self.buffer.pop_frame()
                 if frame is None:
                     return
                 self.receive(frame)
@@ -124,14 +124,14 @@
     async def read_frame(self) -> Frame:
         """Wait for one frame of the handshake."""
         while True:
-            frame = self.buffer.take()
+            frame = self.buffer.pop_frame()
             if frame is not None:
                 return frame
             if self.closed.is_set():
                 raise self.reason
-            self.arrived.clear()
+            self.data_arrived.clear()
             self.transport.resume_reading()
-            await self.arrived.wait()
+            await self.data_arrived.wait()
 
     # -- opening ---------------------------------------------------------
 
@@ -150,7 +150,7 @@
         """
         mine = identity.hello()
         try:
-            async with asyncio.timeout(HANDSHAKE_S):
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 self.post(mine)
                 first = await self.read_frame()
                 self.peer = handshake.check_hello(mine, first.message)
@@ -169,8 +169,8 @@
         self.last_received = loop.time()
         self.buffer.limit = 0
         self.started = True
-        self.beating = loop.call_soon(
-            self.beat_again, heartbeat_ms / 1000, silence_ms / 1000
+        self.heartbeat_timer = loop.call_soon(
+            self.run_heartbeat_timer, heartbeat_ms / 1000, silence_ms / 1000
         )
         self.receive_all()
         if not self.closed.is_set():
@@ -216,7 +216,7 @@
         """
         if self.closed.is_set():
             raise self.reason or WireError(ResultCode.LINK_CLOSED, self.peer_id)
-        if self.write_buffer_bytes() > WRITE_LIMIT_BYTES:
+        if self.write_buffer_bytes() > MAX_WRITE_BUFFER_BYTES:
             self.close(
                 WireError(ResultCode.LINK_SILENT, f"{self.peer_id} does not read")
             )
@@ -266,7 +266,7 @@
     def receive(self, frame: Frame) -> None:
         """Route one frame: heartbeat, reply or request."""
         if isinstance(frame.message, Heartbeat | Load | KeepAlive):
-            self.peer_heartbeat = merge(self.peer_heartbeat, frame.message)
+            self.peer_heartbeat = merge_heartbeat(self.peer_heartbeat, frame.message)
             if self.on_heartbeat is not None:
                 self.on_heartbeat(self)
         elif frame.reply_to:
@@ -302,52 +302,57 @@
                 reply_to=frame.id,
             )
 
-    def beat_again(self, heartbeat_s: float, silence_s: float) -> None:
+    def run_heartbeat_timer(self, heartbeat_s: float, silence_s: float) -> None:
         """Send a heartbeat, and again after a pause, unless the peer is silent.
 
         A timer, not a task: a process has dozens of links, and most of what they do
         is this.
         """
         loop = asyncio.get_running_loop()
-        quiet = loop.time() - self.last_received
-        if quiet > silence_s:
+        silent_s = loop.time() - self.last_received
+        if silent_s > silence_s:
             self.close(
                 WireError(
                     ResultCode.LINK_SILENT,
-                    f"{self.peer_id} was silent for {quiet:.1f} s",
+                    f"{self.peer_id} was silent for {silent_s:.1f} s",
                 )
             )
             return
-        pause_s = self.spared_s(heartbeat_s)
-        if pause_s <= 0:
-            self.beat()
-            pause_s = heartbeat_s
-        self.beating = loop.call_later(pause_s, self.beat_again, heartbeat_s, silence_s)
+        delay_s = self.heartbeat_delay_s(heartbeat_s)
+        if delay_s <= 0:
+            self.send_heartbeat()
+            delay_s = heartbeat_s
+        self.heartbeat_timer = loop.call_later(
+            delay_s, self.run_heartbeat_timer, heartbeat_s, silence_s
+        )
 
-    def spared_s(self, heartbeat_s: float) -> float:
+    def heartbeat_delay_s(self, heartbeat_s: float) -> float:
         """Return for how long no heartbeat is needed, in seconds.
 
         Load: an entry and a sidecar that exchange some frames a second. Any of them
         is a sign of life, so heartbeats besides only cost processor time.
         """
-        if not self.sparing or self.heartbeat() != self.told_heartbeat:
+        if (
+            not self.skips_redundant_heartbeats
+            or self.heartbeat() != self.sent_heartbeat
+        ):
             return 0.0
         return self.last_sent + heartbeat_s - asyncio.get_running_loop().time()
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat now: what is new of it, or a header alone."""
         if self.closed.is_set():
             return
-        told, new = self.told_heartbeat, self.heartbeat()
-        self.told_heartbeat = new
-        load = Load(new.running, new.waiting)
-        if new == told:
+        sent, current = self.sent_heartbeat, self.heartbeat()
+        self.sent_heartbeat = current
+        load = Load(current.running, current.waiting)
+        if current == sent:
             self.write(codec.KEEP_ALIVE)
-        elif merge(told, load) == new:
+        elif merge_heartbeat(sent, load) == current:
             self.check_writable()
             self.write(codec.encode_load(load))
         else:
-            self.post(new)
+            self.post(current)
 
     def close(self, reason: WireError | None = None) -> None:
         """Close the link; every call in flight gets `reason`."""
@@ -355,14 +360,14 @@
             return
         self.reason = reason or WireError(ResultCode.LINK_CLOSED, self.peer_id)
         self.closed.set()
-        self.arrived.set()
+        self.data_arrived.set()
         self.writable.set()
         log.debug("link to %s closed: %s", self.peer_id, self.reason, extra=fields())
         for call in self.calls.values():
             call.replies.put_nowait(self.reason)
         self.calls.clear()
-        if self.beating is not None:
-            self.beating.cancel()
+        if self.heartbeat_timer is not None:
+            self.heartbeat_timer.cancel()
         self.transport.abort()
         for task in self.tasks - {asyncio.current_task()}:
             task.cancel()
@@ -389,12 +394,14 @@
         link.write(data)
 
 
-def merge(heartbeat: Heartbeat, news: Heartbeat | Load | KeepAlive) -> Heartbeat:
+def merge_heartbeat(
+    heartbeat: Heartbeat, update: Heartbeat | Load | KeepAlive
+) -> Heartbeat:
     """Bring a heartbeat up to date with what came after it."""
-    if isinstance(news, Heartbeat):
-        return news
-    if isinstance(news, Load):
-        return heartbeat._replace(running=news.running, waiting=news.waiting)
+    if isinstance(update, Heartbeat):
+        return update
+    if isinstance(update, Load):
+        return heartbeat._replace(running=update.running, waiting=update.waiting)
     return heartbeat
 
 
@@ -415,7 +422,7 @@
     """
     link = Link(handler, heartbeat)
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             await asyncio.get_running_loop().create_connection(
                 lambda: link, address.host, address.port
             )
--- a/src/wisteriapulley/wire/keeper.py
+++ b/src/wisteriapulley/wire/reconnect.py
@@ -17,12 +17,12 @@
 # Share of the time that a peer has been away after which it is tried again. A process
 # that starts is met within a few hundredths of a second of its first moment, since
 # whoever waits for it serves nobody; a peer that stays away is tried once a second.
-PAUSE_SHARE = 0.125
-PAUSE_LEAST_S = 0.05
-PAUSE_MOST_S = 1.0
+DELAY_FRACTION = 0.125
+MIN_DELAY_S = 0.05
+MAX_DELAY_S = 1.0
 
 
-class LinkKeeper:
+class ReconnectingLink:
     """Connects, waits for the link to close, and connects again.
 
     Parameters
@@ -74,18 +74,20 @@
     async def run(self) -> None:
         """Connect for ever."""
         position = 0
-        met_s = steady_s()
+        connected_s = steady_s()
         while True:
             address = self.addresses[position % len(self.addresses)]
             position += 1
             try:
-                await self.hold(address)
-                met_s = steady_s()
+                await self.run_link(address)
+                connected_s = steady_s()
             except WisteriapulleyError as error:
                 log.debug("link to %s: %s", address, error)
-            await asyncio.sleep(pause_s(steady_s() - met_s, self.rng.random()))
+            await asyncio.sleep(
+                reconnect_delay_s(steady_s() - connected_s, self.rng.random())
+            )
 
-    async def hold(self, address: Address) -> None:
+    async def run_link(self, address: Address) -> None:
         """Open a link and wait until it closes."""
         self.link = await connect(
             address,
@@ -110,7 +112,7 @@
             self.link.close()
 
 
-def pause_s(away_s: float, spread: float) -> float:
+def reconnect_delay_s(unreachable_s: float, jitter: float) -> float:
     """Return how long to wait before a peer is tried again.
 
     Load: all processes start again after a loss of power, and those that others
@@ -124,5 +126,5 @@
     spread : float
         Random number below 1: keeps the tries of many processes apart.
     """
-    mean_s = min(PAUSE_MOST_S, max(PAUSE_LEAST_S, away_s * PAUSE_SHARE))
-    return mean_s * (0.5 + spread)
+    mean_s = min(MAX_DELAY_S, max(MIN_DELAY_S, unreachable_s * DELAY_FRACTION))
+    return mean_s * (0.5 + jitter)
--- a/src/wisteriapulley/wire/server.py
+++ b/src/wisteriapulley/wire/server.py
@@ -15,7 +15,7 @@
 
 # Connections that have not yet proved the key; more are closed at once, so that
 # whoever opens sockets and says nothing takes no more memory than this.
-MAX_HANDSHAKES = 128
+MAX_PENDING_HANDSHAKES = 128
 
 
 class LinkServer:
@@ -48,7 +48,7 @@
         self.silence_ms = silence_ms
         self.links: set[Link] = set()
         self.handshakes = 0
-        self.accepting: set[asyncio.Task] = set()
+        self.accept_tasks: set[asyncio.Task] = set()
         self.server: asyncio.Server | None = None
         self.on_open: Callable[[Link], None] | None = None
         self.on_close: Callable[[Link], None] | None = None
@@ -75,20 +75,20 @@
     def new_link(self) -> Link:
         """Make the link of one connection."""
         link = Link(self.handler, self.heartbeat)
-        link.on_connect = self.connected
+        link.on_connect = self.start_accept
         return link
 
-    def connected(self, link: Link) -> None:
+    def start_accept(self, link: Link) -> None:
         """Authenticate a new connection beside the others."""
         task = asyncio.get_running_loop().create_task(self.accept(link))
-        self.accepting.add(task)
-        task.add_done_callback(self.accepting.discard)
+        self.accept_tasks.add(task)
+        task.add_done_callback(self.accept_tasks.discard)
 
     async def accept(self, link: Link) -> None:
         """Authenticate one connection and keep its link."""
         self.handshakes += 1
         try:
-            if self.handshakes > MAX_HANDSHAKES:
+            if self.handshakes > MAX_PENDING_HANDSHAKES:
                 raise WireError(
                     ResultCode.AUTHENTICATION_FAILED, "too many handshakes at once"
                 )
@@ -99,28 +99,28 @@
             return
         finally:
             self.handshakes -= 1
-        link.on_close = self.forget
+        link.on_close = self.remove_link
         self.links.add(link)
         if self.on_open is not None:
             self.on_open(link)
         link.start(self.heartbeat_ms, self.silence_ms)
 
-    def forget(self, link: Link) -> None:
+    def remove_link(self, link: Link) -> None:
         """Drop a closed link."""
         self.links.discard(link)
         if self.on_close is not None:
             self.on_close(link)
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat on every link now."""
         for link in tuple(self.links):
-            link.beat()
+            link.send_heartbeat()
 
     async def stop(self) -> None:
         """Stop listening and close every link."""
         if self.server is not None:
             self.server.close()
-        for task in tuple(self.accepting):
+        for task in tuple(self.accept_tasks):
             task.cancel()
         for link in tuple(self.links):
             link.close()
--- a/tests/plain_fleet.py
+++ b/tests/plain_fleet.py
@@ -8,7 +8,7 @@
 
 from tests.fakes.platform import Origin, configuration
 from tests.fleet import free_hosts, free_port
-from tests.test_platform_path import KEY, PATIENCE_S, settings_file
+from tests.test_platform_path import KEY, MAX_WAIT_S, settings_file
 from wisteriapulley.platform import names
 from wisteriapulley.platform.daemons import new_control, new_entry
 
@@ -90,7 +90,7 @@
 
     async def until(self, check):
         """Wait for a condition, with a timeout for a busy machine."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(MAX_WAIT_S):
             while not await check():
                 await asyncio.sleep(0.02)
 
--- a/tests/test_advertised_limit.py
+++ b/tests/test_advertised_limit.py
@@ -82,4 +82,4 @@
             assert refused and all(float(wait) > 0 for wait in refused)
             assert any(status == 200 for status, _ in answers)
 
-        test_platform_path.play(tmp_path, scenario)
+        test_platform_path.run_scenario(tmp_path, scenario)
--- a/tests/test_advertised_rate.py
+++ b/tests/test_advertised_rate.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.test_direct_dispatch import FakeAnswer, events, serve
-from wisteriapulley.platform.statements import parse_rate
+from wisteriapulley.platform.signal_parsing import parse_rate
 from wisteriapulley.policy.advertised_rate import (
     MIN_RATE_PER_S,
     AdvertisedRate,
--- a/tests/test_cooldown.py
+++ b/tests/test_cooldown.py
@@ -120,7 +120,7 @@
             assert in_cooldown(path.engine.arrivals) <= MAX_IN_COOLDOWN
             assert set(answers) == {503}
 
-        test_platform_path.play(tmp_path, scenario)
+        test_platform_path.run_scenario(tmp_path, scenario)
 
     def test_sidecar_rejected_by_its_engine_stops_polling(self, tmp_path):
         async def scenario(path):
@@ -138,4 +138,4 @@
             engine.report_rest = ""
             assert (await path.ask())[0] == 200
 
-        test_platform_path.play(tmp_path, scenario)
+        test_platform_path.run_scenario(tmp_path, scenario)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -101,7 +101,7 @@
         code = (
             "import runpy, sys, ssl\n"
             "run = runpy.run_path('deploy/run.py')\n"
-            "run['spare_imports']()\n"
+            "run['skip_unused_imports']()\n"
             "sys.path.insert(0, 'target/app')\n"
             "import aiohttp, aiomisc\n"
             "assert sys.modules['rich'] is None\n"
--- a/tests/test_entry_at_most_once.py
+++ b/tests/test_entry_at_most_once.py
@@ -105,7 +105,7 @@
 
     def serve_version(self, version):
         self.gate.version = version
-        self.server.beat()
+        self.server.send_heartbeats()
 
     async def restart(self, incarnation):
         await self.server.stop()
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -12,7 +12,7 @@
 )
 
 
-class Served:
+class CountingHandler:
     """Serves every request with a short answer, and counts them."""
 
     def __init__(self):
@@ -25,9 +25,9 @@
         await answer.finish()
 
 
-def play(scenario):
+def run_scenario(scenario):
     async def run():
-        served = Served()
+        served = CountingHandler()
         ingress = Ingress(served.serve, 1000)
         await ingress.start(Address("127.0.0.1", 0))
         port = ingress.site._server.sockets[0].getsockname()[1]
@@ -49,7 +49,7 @@
             close_idle(ingress.server, ingress.active)
             assert await reader.read() == b""
 
-        play(scenario)
+        run_scenario(scenario)
 
     def test_request_that_was_just_read_gets_its_answer(self):
         # The request is parsed, but its handler has not begun, when the entry
@@ -66,7 +66,7 @@
             assert b"connection: close" in answer.lower()
             assert served.count == 1
 
-        play(scenario)
+        run_scenario(scenario)
 
     def test_request_on_a_closed_connection_is_not_passed_on(self):
         async def scenario(ingress, served, reader, writer):
@@ -79,4 +79,4 @@
             await asyncio.sleep(0)
             assert served.count == 0
 
-        play(scenario)
+        run_scenario(scenario)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -64,7 +64,7 @@
             status, _, _ = await path.ask()
             assert (status, path.engine.runs) == (503, [])
 
-        test_platform_path.play(tmp_path, scenario)
+        test_platform_path.run_scenario(tmp_path, scenario)
 
     def test_streams_in_progress_complete(self, tmp_path):
         async def scenario(path):
@@ -82,7 +82,7 @@
             for status, body, _ in await asyncio.gather(*streams):
                 assert (status, body) == (200, EVENTS)
 
-        test_platform_path.play(tmp_path, scenario)
+        test_platform_path.run_scenario(tmp_path, scenario)
 
     @pytest.mark.parametrize("reports_incarnation", [True, False])
     def test_restarted_engine_gets_grants_again(self, tmp_path, reports_incarnation):
@@ -105,7 +105,7 @@
 
             await path.until(is_open)
 
-        test_platform_path.play(tmp_path, scenario)
+        test_platform_path.run_scenario(tmp_path, scenario)
 
 
 class TestReports:
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -13,7 +13,7 @@
 from wisteriapulley.platform.settings import PlatformSettings
 
 KEY = "k" * 40
-PATIENCE_S = 30.0
+MAX_WAIT_S = 30.0
 
 
 def settings_file(folder, host, base, **more):
@@ -51,7 +51,7 @@
     return PlatformSettings.from_file(str(path))
 
 
-class WholePath:
+class PlatformFleet:
     """One control instance, one entry, one sidecar, an engine and an origin."""
 
     def __init__(self, folder):
@@ -79,10 +79,10 @@
             service.fatal = asyncio.get_running_loop().create_future()
             await service.start()
         self.session = aiohttp.ClientSession()
-        self.beating = asyncio.create_task(self.beat_loop())
+        self.heartbeat_task = asyncio.create_task(self.heartbeat_loop())
 
     async def stop(self):
-        self.beating.cancel()
+        self.heartbeat_task.cancel()
         await self.session.close()
         for service in reversed(self.services):
             await service.stop()
@@ -101,7 +101,7 @@
         async with self.session.get(self.url(10, names.READ_CALL)) as answer:
             return answer.status, await answer.read()
 
-    async def beat(self, state="ready"):
+    async def send_heartbeat(self, state="ready"):
         self.sequence += 1
         body = (
             f'{{"service":"model-service","address":"{self.engine.address}",'
@@ -112,18 +112,18 @@
         path = names.HEARTBEAT_CALL.format(target_id=self.engine.target_id)
         return await self.post(path, body.encode())
 
-    async def beat_loop(self):
+    async def heartbeat_loop(self):
         while True:
-            await self.beat()
+            await self.send_heartbeat()
             await asyncio.sleep(0.2)
 
     async def until(self, check):
         """Wait for a condition, however long a busy machine takes."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(MAX_WAIT_S):
             while not await check():
                 await asyncio.sleep(0.02)
 
-    async def accepted(self, path, body):
+    async def post_until_accepted(self, path, body):
         async def check():
             return await self.post(path, body) == 200
 
@@ -145,7 +145,7 @@
         ) as answer:
             return answer.status, await answer.read(), answer.headers
 
-    async def confirmed(self):
+    async def wait_confirmed(self):
         """Wait until a quorum confirmed the entry's table: before, 404 is not said."""
 
         async def check():
@@ -153,7 +153,7 @@
 
         await self.until(check)
 
-    async def served(self):
+    async def wait_served(self):
         async def check():
             status, _, _ = await self.ask()
             return status == 200
@@ -161,14 +161,16 @@
         await self.until(check)
 
 
-def play(tmp_path, scenario):
+def run_scenario(tmp_path, scenario):
     async def run():
-        path = WholePath(tmp_path)
+        path = PlatformFleet(tmp_path)
         try:
             await path.start()
-            await path.accepted(names.REPLACE_CALL, configuration(3, path.origin))
-            await path.served()
-            await path.confirmed()
+            await path.post_until_accepted(
+                names.REPLACE_CALL, configuration(3, path.origin)
+            )
+            await path.wait_served()
+            await path.wait_confirmed()
             path.engine.runs.clear()
             await scenario(path)
         finally:
@@ -191,7 +193,7 @@
             assert got["X-Expect-Version"] == "1"
             assert 0 < int(got["X-Deadline-Ms"]) <= 5000
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_refusals(self, tmp_path):
         async def scenario(path):
@@ -204,7 +206,7 @@
             assert float(headers["Retry-After"]) > 0
             assert path.engine.runs == []
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_broken_stream_goes_on_at_the_next_event(self, tmp_path):
         async def scenario(path):
@@ -214,39 +216,39 @@
                 await path.ask()
             assert len(path.engine.runs) == 1
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_leaving_target_gets_no_more(self, tmp_path):
         async def scenario(path):
-            path.beating.cancel()
-            assert await path.beat("draining") == 200
+            path.heartbeat_task.cancel()
+            assert await path.send_heartbeat("draining") == 200
 
             async def refused():
                 return (await path.ask())[0] == 503
 
             await path.until(refused)
             runs = len(path.engine.runs)
-            assert await path.beat("ready") == 200
+            assert await path.send_heartbeat("ready") == 200
             assert (await path.ask())[0] == 503
             assert len(path.engine.runs) == runs
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_configuration_is_read_back_as_sent(self, tmp_path):
         async def scenario(path):
             newer = configuration(9, path.origin, extra="kept")
-            await path.accepted(names.REPLACE_CALL, newer)
+            await path.post_until_accepted(names.REPLACE_CALL, newer)
             assert await path.read() == (200, newer)
             other = configuration(9, path.origin, extra="other")
             assert await path.post(names.REPLACE_CALL, other) == 200
             assert await path.post(names.REPLACE_CALL, newer[:-9]) == 400
             assert await path.read() == (200, newer)
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_dropped_route_is_not_served_any_more(self, tmp_path):
         async def scenario(path):
-            await path.accepted(
+            await path.post_until_accepted(
                 names.REPLACE_CALL, configuration(9, path.origin, routes=[])
             )
 
@@ -255,7 +257,7 @@
 
             await path.until(gone)
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
 
 class TestWeights:
@@ -265,21 +267,21 @@
             path.origin.spoil = {1, 4}
             path.engine.rot = {0, 3}
             order = b'{"model":"model","version":2}'
-            await path.accepted(names.WEIGHTS_CALL, order)
+            await path.post_until_accepted(names.WEIGHTS_CALL, order)
 
             async def loaded():
                 return path.engine.version == 2
 
             await path.until(loaded)
             assert path.engine.bad_loads == 0
-            await path.served()
+            await path.wait_served()
             status, body, _ = await path.ask()
             assert (status, body) == (200, EVENTS)
             assert path.engine.runs[-1][3]["X-Expect-Version"] == "2"
             # Each piece was drawn once, and again where it came spoilt.
             assert path.origin.sent <= path.origin.chunks + 2
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_engine_that_lost_its_weights_gets_them_back(self, tmp_path):
         async def scenario(path):
@@ -290,6 +292,6 @@
 
             await path.until(loaded)
             assert path.engine.bad_loads == 0
-            await path.served()
+            await path.wait_served()
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
--- a/tests/test_response_signals.py
+++ b/tests/test_response_signals.py
@@ -12,7 +12,11 @@
 from wisteriapulley.direct.registry import TargetRegistry
 from wisteriapulley.direct.slot_allocation import AllocatedSlot, SlotAllocator
 from wisteriapulley.direct.types import CallerRequest, Refusal, RefusalKind
-from wisteriapulley.platform.statements import MOST_REST_S, parse_rest, parse_statements
+from wisteriapulley.platform.signal_parsing import (
+    MAX_COOLDOWN_S,
+    parse_cooldown,
+    parse_signals,
+)
 from wisteriapulley.policy.response_signals import (
     CooldownTracker,
     RequestedCooldown,
@@ -30,7 +34,7 @@
     headers = CIMultiDict([("Retry-After", text) for text in texts])
     if date:
         headers["Date"] = date
-    return parse_rest(status, headers)
+    return parse_cooldown(status, headers)
 
 
 class TestParseRest:
@@ -45,9 +49,9 @@
             (("3", "soon"), 3.0),
             (("Thu, 03 Dec 2026 12:00:04 GMT",), 4.0),
             (("Thu, 03 Dec 2026 11:59:00 GMT",), 0.0),
-            (("86400",), MOST_REST_S),
-            (("31536000",), MOST_REST_S),
-            (("9" * 400,), MOST_REST_S),
+            (("86400",), MAX_COOLDOWN_S),
+            (("31536000",), MAX_COOLDOWN_S),
+            (("9" * 400,), MAX_COOLDOWN_S),
         ],
     )
     def test_readable(self, texts, seconds):
@@ -77,19 +81,19 @@
             "Retry-After": "3",
             "Server-Leaving": "1",
         }
-        signals = parse_statements(503, CIMultiDict(headers))
+        signals = parse_signals(503, CIMultiDict(headers))
         assert signals.load == TargetLoad(3, 0, 8)
         assert signals.rate.per_s == 1.5
         assert signals.cooldown.seconds == 3.0
         assert signals.leaving
 
     def test_response_without_signals(self):
-        assert parse_statements(200, CIMultiDict()) == ResponseSignals()
+        assert parse_signals(200, CIMultiDict()) == ResponseSignals()
 
     @pytest.mark.parametrize("text", ["", "0", "no", "-1", "11"])
     def test_only_one_value_means_leaving(self, text):
         headers = CIMultiDict({"Server-Leaving": text})
-        assert not parse_statements(200, headers).leaving
+        assert not parse_signals(200, headers).leaving
 
 
 class TestLogs:
--- a/tests/test_slot_admission.py
+++ b/tests/test_slot_admission.py
@@ -22,7 +22,7 @@
     def post(self, message, reply_to=0):
         self.taken.append(message)
 
-    def beat(self):
+    def send_heartbeat(self):
         return
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -27,13 +27,13 @@
         return codec.decode(payload, frame.body)
 
     def test_every_message_survives(self):
-        for kind in codec.KINDS.values():
+        for kind in codec.FRAME_MESSAGES.values():
             frame = Frame(3, 4, kind(), b"body")
             assert self.roundtrip(frame) == frame
 
     def test_every_plain_field_survives(self):
         values = {int: 7, str: "é", bytes: b"\x00\xff", bool: True}
-        for kind in codec.KINDS.values():
+        for kind in codec.FRAME_MESSAGES.values():
             hints = typing.get_type_hints(kind)
             message = kind(
                 **{name: values[hint] for name, hint in hints.items() if hint in values}
@@ -113,53 +113,53 @@
             asyncio.run(run())
         assert caught.value.code == ResultCode.AUTHENTICATION_FAILED
 
-    def play(self, scenario):
+    def run_scenario(self, scenario):
         """Play a scenario on a link that has just been opened."""
 
         async def run():
             server, link = await self.pair(None)
-            link.beat()
+            link.send_heartbeat()
             await scenario(link)
             link.close()
             await server.stop()
 
         asyncio.run(run())
 
-    def beaten(self, link, sent_s_ago):
+    def heartbeat_bytes(self, link, sent_s_ago):
         """Return the bytes of a regular heartbeat, long or short after a frame."""
         link.last_sent = asyncio.get_running_loop().time() - sent_s_ago
         before = link.bytes_sent
-        link.beat_again(3600.0, 3600.0)
+        link.run_heartbeat_timer(3600.0, 3600.0)
         return link.bytes_sent - before
 
     def test_sparing_link_beats_only_when_it_is_quiet_or_has_news(self):
         async def scenario(link):
-            link.sparing = True
-            assert self.beaten(link, sent_s_ago=1800.0) == 0
-            assert self.beaten(link, sent_s_ago=3600.0) == codec.HEADER.size
+            link.skips_redundant_heartbeats = True
+            assert self.heartbeat_bytes(link, sent_s_ago=1800.0) == 0
+            assert self.heartbeat_bytes(link, sent_s_ago=3600.0) == codec.HEADER.size
             link.heartbeat = lambda: messages.Heartbeat(7)
-            assert self.beaten(link, sent_s_ago=1800.0) > codec.HEADER.size
+            assert self.heartbeat_bytes(link, sent_s_ago=1800.0) > codec.HEADER.size
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_next_beat_of_a_sparing_link_follows_its_last_frame(self):
         """However busy it is, it is never silent for longer than an interval."""
 
         async def scenario(link):
-            link.sparing = True
-            assert self.beaten(link, sent_s_ago=1800.0) == 0
-            due_s = link.beating.when() - asyncio.get_running_loop().time()
+            link.skips_redundant_heartbeats = True
+            assert self.heartbeat_bytes(link, sent_s_ago=1800.0) == 0
+            due_s = link.heartbeat_timer.when() - asyncio.get_running_loop().time()
             assert due_s <= 1800.0
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_other_links_beat_however_busy_they_are(self):
         """Followers ask again for what they lack at each heartbeat."""
 
         async def scenario(link):
-            assert self.beaten(link, sent_s_ago=0.0) == codec.HEADER.size
+            assert self.heartbeat_bytes(link, sent_s_ago=0.0) == codec.HEADER.size
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
     def test_heartbeats_tell_only_what_is_new(self):
         async def run():
@@ -173,11 +173,11 @@
             theirs.on_heartbeat = lambda link: heard.put_nowait(link.peer_heartbeat)
             for _ in range(3):
                 before = link.bytes_sent
-                link.beat()
+                link.send_heartbeat()
                 assert await heard.get() == state
             assert link.bytes_sent - before == codec.HEADER.size
             before, state = link.bytes_sent, state._replace(running=7, waiting=2)
-            link.beat()
+            link.send_heartbeat()
             # The link's own first beat may still be on its way before this one.
             while await heard.get() != state:
                 pass
@@ -219,7 +219,7 @@
 
 
 class TestHandshake:
-    async def speak(self, data):
+    async def exchange(self, data):
         """Send bytes to a server; return all that it answers."""
         server = LinkServer(
             identity("server"), None, messages.Heartbeat, HOUR_MS, HOUR_MS
@@ -236,7 +236,7 @@
         await server.stop()
         return answer
 
-    def recorded(self):
+    def recorded_handshake(self):
         """Return what an honest opener once sent."""
         mine = identity("client").hello()
         theirs = identity("server").hello()
@@ -245,7 +245,7 @@
         return b"".join(codec.encode(frame) for frame in frames)
 
     def test_replayed_handshake_is_refused(self):
-        asyncio.run(self.speak(self.recorded()))
+        asyncio.run(self.exchange(self.recorded_handshake()))
 
     def test_own_proof_sent_back_is_refused(self):
         hello = identity("server").hello()
@@ -264,7 +264,7 @@
         ],
     )
     def test_garbage_before_the_proof_is_closed_at_once(self, data):
-        asyncio.run(self.speak(data))
+        asyncio.run(self.exchange(data))
 
 
 class TestFrameBuffer:
@@ -279,7 +279,7 @@
             buffer, taken = FrameBuffer(), []
             for start in range(0, len(data), step):
                 buffer.feed(data[start : start + step])
-                while (frame := buffer.take()) is not None:
+                while (frame := buffer.pop_frame()) is not None:
                     taken.append(frame)
             assert taken == frames
             assert buffer.size == 0
