--- a/src/wisteriapulley/platform/__init__.py
+++ b/src/wisteriapulley/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translates between the product and its users' platform. Decides nothing."""
+"""Adapter between the product and its users' platform; holds no decision logic."""
--- a/src/wisteriapulley/platform/control_calls.py
+++ b/src/wisteriapulley/platform/control_calls.py
@@ -1,4 +1,4 @@
-"""Calls of operators and targets at a control instance."""
+"""HTTP API of a control instance for operators and targets."""
 
 import logging
 
@@ -21,10 +21,10 @@
 
 log = logging.getLogger(__name__)
 
-# Thousands of routes; far above what an operator sends.
+# Room for thousands of routes, far more than operators send.
 MAX_BODY_BYTES = 16 << 20
 EMPTY_JSON = b"{}"
-# What is invalid in itself, however often it is sent.
+# The content itself is invalid, so a retry can't succeed.
 PERMANENT_ERROR_CODES = (
     ResultCode.CATALOGUE_ENTRY_INVALID,
     ResultCode.HEARTBEAT_INVALID,
@@ -32,7 +32,7 @@
 
 
 class ControlCalls:
-    """Serves the platform's calls with a control instance's `Orders`."""
+    """Serves the platform's calls through a control instance's `Orders`."""
 
     def __init__(self, orders: Orders):
         self.orders = orders
@@ -49,12 +49,12 @@
         self.runner = web.AppRunner(app, access_log=None, shutdown_timeout=1.0)
 
     async def start(self, address: Address) -> None:
-        """Listen.
+        """Start listening.
 
         Raises
         ------
         SettingsError
-            ADDRESS_CLASH.
+            ADDRESS_CLASH: the address can't be bound.
         """
         await self.runner.setup()
         site = web.TCPSite(self.runner, address.host, address.port, backlog=512)
@@ -62,7 +62,8 @@
             await site.start()
         except OSError as error:
             raise SettingsError(
-                ResultCode.ADDRESS_CLASH, f"operators' address {address}: {error}"
+                ResultCode.ADDRESS_CLASH,
+                f"cannot listen for operators at {address}: {error}",
             ) from error
 
     async def stop(self) -> None:
@@ -70,51 +71,51 @@
         await self.runner.cleanup()
 
     async def replace(self, request: web.Request) -> web.Response:
-        """Put a configuration in force."""
+        """Replace the current configuration."""
         body = await request.read()
         await self.orders.replace_routing(decode_configuration(body), body)
         return ack_response()
 
     async def read(self, request: web.Request) -> web.Response:
-        """Return the configuration in force."""
+        """Return the current configuration."""
         body = await self.orders.read_routing()
         return web.Response(body=body, content_type="application/json")
 
     async def set_desired_version(self, request: web.Request) -> web.Response:
-        """Name weights."""
+        """Set the desired version of a model's weights."""
         wire = decode_weights(await request.read())
         await self.orders.name_weights(wire.model, wire.version)
         return ack_response()
 
     async def heartbeat(self, request: web.Request) -> web.Response:
-        """Take a target's heartbeat."""
+        """Record a heartbeat of a target."""
         target_id = request.match_info["target_id"]
         self.orders.heard(decode_heartbeat(target_id, await request.read()))
         return ack_response()
 
     async def leave(self, request: web.Request) -> web.Response:
-        """Take a target's word that it ends."""
+        """Record that a target is shutting down."""
         self.orders.left(request.match_info["target_id"])
         return ack_response()
 
 
 def ack_response() -> web.Response:
-    """Make the answer to a call that was taken."""
+    """Return the response to an accepted call."""
     return web.Response(body=EMPTY_JSON, content_type="application/json")
 
 
 @web.middleware
 async def map_errors(request: web.Request, handler) -> web.StreamResponse:
-    """Answer errors: 400 for what never can be taken, 503 for anything else.
+    """Map errors to responses: 400 for permanent errors, 503 for all others.
 
-    A caller whose call was not acknowledged sends it again, so only what is
-    invalid in itself may be refused for good.
+    Callers retry a call that was not acknowledged. 400 ends the retries, so it is
+    returned only if the content of the call is invalid.
     """
     try:
         return await handler(request)
     except CatalogueError as error:
         is_permanent = error.code in PERMANENT_ERROR_CODES
-        log.warning("call refused: %s", error)
+        log.warning("call rejected: %s", error)
         return web.Response(status=400 if is_permanent else 503, text=f"{error}\n")
     except (WisteriapulleyError, TimeoutError) as error:
         log.info("call not acknowledged: %s", error)
--- a/src/wisteriapulley/platform/daemons.py
+++ b/src/wisteriapulley/platform/daemons.py
@@ -1,4 +1,4 @@
-"""Puts the product's daemons together with the platform's formats."""
+"""Builds and runs the daemons with the platform's settings and HTTP formats."""
 
 import logging
 import os
@@ -17,22 +17,22 @@
 
 
 def settings_from_environment() -> PlatformSettings:
-    """Read the settings file that the platform names."""
+    """Read the settings file that the platform passes in the environment."""
     return PlatformSettings.from_file(os.environ[SETTINGS_VARIABLE])
 
 
 def new_control(settings: PlatformSettings, key_file: str) -> "aiomisc.Service":
-    """Make a control instance."""
+    """Return a new control instance."""
     from wisteriapulley.control.service import ControlService
     from wisteriapulley.platform.control_calls import ControlCalls
     from wisteriapulley.platform.http import HttpClient
     from wisteriapulley.platform.origin import HttpOrigin
 
     class PlatformControl(ControlService):
-        """A control instance that also takes the platform's calls."""
+        """A control instance that also serves the platform's calls."""
 
         async def start(self) -> None:
-            """Start, then listen for the platform's calls."""
+            """Start the instance, then listen for the platform's calls."""
             self.client = HttpClient()
             self.open_origin = lambda address: HttpOrigin(self.client, address)
             await super().start()
@@ -42,7 +42,7 @@
             )
 
         async def stop(self, exception: Exception | None = None) -> None:
-            """Stop taking calls, then stop."""
+            """Stop serving calls, then stop the instance."""
             await self.calls.stop()
             await super().stop(exception)
             await self.client.close()
@@ -51,7 +51,7 @@
 
 
 def new_entry(settings: PlatformSettings, key_file: str) -> "aiomisc.Service":
-    """Make an entry."""
+    """Return a new entry."""
     from wisteriapulley.direct.service import DirectEntryService
     from wisteriapulley.platform import names
     from wisteriapulley.platform.http import HttpClient
@@ -60,16 +60,16 @@
     from wisteriapulley.readiness import ReadinessServer
 
     class PlatformEntry(DirectEntryService):
-        """An entry that also answers the balancer."""
+        """An entry that also answers the load balancer's readiness checks."""
 
         async def start(self) -> None:
-            """Listen for the balancer, then start."""
+            """Listen for readiness checks, then start the entry."""
             self.readiness = ReadinessServer(names.READY_CALL, self.is_ready)
             await self.readiness.start(self.settings.ready_listen)
             await super().start()
 
         async def stop(self, exception: Exception | None = None) -> None:
-            """Stop, and answer the balancer until then."""
+            """Stop the entry; readiness checks are answered until it has stopped."""
             await super().stop(exception)
             await self.readiness.stop()
             await http.close()
@@ -79,7 +79,7 @@
 
 
 def new_sidecar(settings: PlatformSettings, key_file: str) -> "aiomisc.Service":
-    """Make a sidecar."""
+    """Return a new sidecar."""
     from wisteriapulley.platform.engine import HttpEngine
     from wisteriapulley.platform.http import HttpClient
     from wisteriapulley.rollout.service import RolloutService
@@ -94,12 +94,12 @@
 
 
 async def run(role: str, settings: PlatformSettings, key_file: str) -> None:
-    """Run the daemon of `role` until a stop signal.
+    """Run the daemon of `role` until it receives a stop signal.
 
     Raises
     ------
     WisteriapulleyError
-        It could not start, or failed for good.
+        The daemon could not start, or failed permanently.
     """
     from wisteriapulley.daemon import reduce_gc_frequency, serve
     from wisteriapulley.logs import fields
@@ -123,7 +123,7 @@
 
 
 def run_until_stopped(role: str, settings: PlatformSettings, key_file: str) -> None:
-    """Run a daemon on a loop of its own."""
+    """Run a daemon on a new event loop."""
     import asyncio
 
     import uvloop
@@ -135,7 +135,9 @@
 def main(role: str, key_file: str) -> int:
     """Run a daemon; return its exit status.
 
-    What is slow to import is imported once the daemon's turn to start has come.
+    Modules that are slow to import are imported only after `wait_for_listener`: an
+    entry that waits for the control instance must not compete with it for the
+    processor.
     """
     import sys
 
@@ -146,7 +148,7 @@
         settings = settings_from_environment()
         logs.configure(settings.node_name)
         if role == "entry" and settings.counts_as_loss:
-            # The host has a disk, so a control instance runs beside this entry.
+            # The host has a disk, so a control instance runs on it as well.
             wait_for_listener(settings.control_wire_address())
         run_until_stopped(role, settings, key_file)
     except WisteriapulleyError as error:
--- a/src/wisteriapulley/platform/documents.py
+++ b/src/wisteriapulley/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration text and the targets' heartbeats, decoded once."""
+"""Decodes the operator's configuration and the targets' heartbeats."""
 
 from enum import StrEnum
 from typing import Annotated
@@ -28,7 +28,7 @@
 
 
 class WireSplit(msgspec.Struct):
-    """Share of a route's requests."""
+    """The service that serves a fraction of a route's requests, and its weight."""
 
     service: str
     weight: int
@@ -59,16 +59,16 @@
 
 
 class WireEngine(msgspec.Struct):
-    """Figures of a service's engines."""
+    """Parameters of a service's engines."""
 
     slots: int = 1
     models: list[WireEngineModel] = []
-    # Decode steps of a pass.
+    # Decode steps per batch step.
     stride: int = 1
     step_ms: float = 10.0
-    # Milliseconds of a step for each request that it writes for.
+    # Milliseconds that each decoding request adds to a step.
     per_seq_ms: float = 0.0
-    # Prompt tokens read in a second.
+    # Prefill rate in prompt tokens per second.
     read_per_s: float = 20000.0
     layers: int = 0
     chunks: int = 0
@@ -76,20 +76,20 @@
 
 
 class WireService(msgspec.Struct, rename="kebab"):
-    """One service; one with an origin hands out weights."""
+    """One service; a service with an origin distributes weights."""
 
     name: str
     health_check_path: str = ""
     max_connections: int = 0
     engine: WireEngine | None = None
-    # Address of the origin of weights, which is no target.
+    # Address of the origin of the weights; the origin is not a target.
     origin: str = ""
     zone: str = ""
     link_mbps: float = 0.0
 
 
 class WireLimits(msgspec.Struct, rename="kebab"):
-    """What callers may send."""
+    """Limits on callers' requests and connections."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 << 20
@@ -98,7 +98,7 @@
 
 
 class WireTenant(msgspec.Struct, rename="kebab"):
-    """A client account and its keys."""
+    """A client account and its API keys."""
 
     name: str
     api_keys: list[str] = []
@@ -106,7 +106,7 @@
 
 
 class WireConfiguration(msgspec.Struct):
-    """Everything that an operator puts in force at once."""
+    """The whole configuration, which an operator replaces at once."""
 
     version: int
     routes: list[WireRoute] = []
@@ -116,34 +116,34 @@
 
 
 class WireWeights(msgspec.Struct):
-    """Names the version of a model's weights."""
+    """The desired version of a model's weights."""
 
     model: str
     version: int
 
 
-# Fits every field of a frame, and any count that a target reaches in its life.
+# Fits the integer fields of a frame and exceeds any count of a running target.
 Count = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
 Slots = Annotated[int, msgspec.Meta(ge=1, le=1 << 16)]
 ColdMs = Annotated[float, msgspec.Meta(ge=0, le=3_600_000)]
 
 
 class TargetStage(StrEnum):
-    """Whether a target takes new work, or is about to leave."""
+    """Whether a target accepts new requests or drains before it leaves."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class WireHeldModel(msgspec.Struct):
-    """A model that a target holds."""
+    """A model whose weights a target holds."""
 
     name: str
     version: Count = 0
 
 
 class WireHeartbeat(msgspec.Struct, rename="kebab"):
-    """What a target says of itself; other writers' words are refused whole."""
+    """Heartbeat of a target; one invalid field rejects the whole heartbeat."""
 
     service: str
     address: str
@@ -151,20 +151,20 @@
     slots: Slots
     state: TargetStage
     sequence: Count
-    # How much longer it is slow after its start.
+    # How much longer the target is slow after its start.
     cold_remaining_ms: ColdMs = 0.0
     models: list[WireHeldModel] = []
-    # Unix milliseconds of its start; a target may start again under its id.
+    # Unix time of its start in milliseconds; a target may restart under its id.
     born: Count = 0
 
 
 def decode_configuration(body: bytes) -> RoutingTable:
-    """Read a configuration.
+    """Decode a configuration.
 
     Raises
     ------
     CatalogueError
-        CATALOGUE_ENTRY_INVALID: it can't be read in full.
+        CATALOGUE_ENTRY_INVALID: any part of it is invalid.
     """
     try:
         wire = msgspec.json.decode(body, type=WireConfiguration)
@@ -182,7 +182,7 @@
 
 
 def to_route(wire: WireRoute) -> Route:
-    """Read a route."""
+    """Return the product's form of a route."""
     if wire.kind not in ROUTE_KINDS:
         raise CatalogueError(
             ResultCode.CATALOGUE_ENTRY_INVALID,
@@ -210,7 +210,7 @@
 
 
 def to_service(wire: WireService) -> Service:
-    """Read a service."""
+    """Return the product's form of a service."""
     origin = None
     if wire.origin:
         origin = Origin(wire.origin, wire.zone, wire.link_mbps, wire.max_connections)
@@ -223,7 +223,7 @@
 
 
 def to_engine(wire: WireEngine) -> Engine:
-    """Read the figures of engines."""
+    """Return the product's form of a service's engine parameters."""
     return Engine(
         wire.models[0].name,
         wire.slots,
@@ -238,7 +238,7 @@
 
 
 def decode_heartbeat(target_id: str, body: bytes) -> TargetState:
-    """Read a target's heartbeat.
+    """Decode a heartbeat of a target.
 
     Raises
     ------
@@ -250,7 +250,7 @@
         wire = msgspec.json.decode(body, type=WireHeartbeat)
         address = Address.from_text(wire.address)
         if not address.port:
-            raise ValueError("port 0 is no port of a target")
+            raise ValueError("expected a port above 0, got port 0")
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
         raise CatalogueError(
             ResultCode.HEARTBEAT_INVALID,
@@ -271,12 +271,12 @@
 
 
 def decode_weights(body: bytes) -> WireWeights:
-    """Read an order that names weights.
+    """Decode an order that sets the desired version of a model's weights.
 
     Raises
     ------
     CatalogueError
-        CATALOGUE_ENTRY_INVALID.
+        CATALOGUE_ENTRY_INVALID: the order can't be decoded.
     """
     try:
         return msgspec.json.decode(body, type=WireWeights)
--- a/src/wisteriapulley/platform/engine.py
+++ b/src/wisteriapulley/platform/engine.py
@@ -1,4 +1,4 @@
-"""The engine beside a sidecar."""
+"""HTTP client for the engine that a sidecar runs beside."""
 
 import asyncio
 
@@ -13,60 +13,60 @@
 from wisteriapulley.rollout.engine import EngineReport, OrderOutcome
 from wisteriapulley.settings import Address
 
-# The engine is on the same instance: a call that takes longer hangs.
+# The engine runs on the same instance, so a longer call has hung.
 CALL_TIMEOUT_S = 2.0
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
 
 
 class WireModel(msgspec.Struct):
-    """A model that the engine holds, and its version."""
+    """A model that the engine holds, and the version of its weights."""
 
     name: str
     version: int
 
 
 class WireLayers(msgspec.Struct):
-    """Layers of one version that it holds."""
+    """Range of layers of one version that the engine holds."""
 
     # First layer.
     first: int = msgspec.field(name="range-start", default=0)
-    # Layer behind the last one.
+    # One past the last layer.
     end: int = msgspec.field(name="to", default=0)
     version: int = 0
 
 
 class WireReport(msgspec.Struct):
-    """Answer to the question for an engine's state."""
+    """State that an engine reports."""
 
     models: list[WireModel] = []
     layers: WireLayers | None = None
     busy: bool = False
     waiting: int = 0
     running: int = 0
-    # Unix milliseconds of its start.
+    # Unix time of its start in milliseconds.
     born: int = 0
 
 
 class WireOrder(msgspec.Struct):
-    """An order to load what lies in the staging place."""
+    """An order to load the staged pieces."""
 
-    # What to do; "start" loads.
+    # "start" loads the staged pieces.
     operation: str
     model: str
     version: int
-    # "wait" lets running requests end first.
+    # "wait" lets running requests finish first.
     mode: str
 
 
 class WireHeld(msgspec.Struct):
-    """Which pieces lie in the staging place."""
+    """Positions of the staged pieces."""
 
     held: list[int] = []
 
 
 class HttpEngine:
-    """The engine at one address; see `rollout.engine.EngineClient`."""
+    """Client of the engine at one address; see `rollout.engine.EngineClient`."""
 
     def __init__(self, http: HttpClient, address: Address):
         self.http = http
@@ -76,47 +76,48 @@
     async def call(
         self, method: str, path: str, **options: object
     ) -> tuple[int, bytes]:
-        """Make one call; see `answer`."""
+        """Make one call; see `call_with_signals`."""
         status, body, _ = await self.call_with_signals(method, path, **options)
         return status, body
 
     async def call_with_signals(
         self, method: str, path: str, **options: object
     ) -> tuple[int, bytes, ResponseSignals]:
-        """Make one call; return status, body and what the engine says of itself.
+        """Make one call; return status, body and the engine's reported signals.
 
         Raises
         ------
         WeightsError
-            SOURCE_UNAVAILABLE: the engine does not answer, or rests.
+            SOURCE_UNAVAILABLE: the engine does not respond, or is in the cool-down
+            that it requested.
         """
         loop = asyncio.get_running_loop()
         if self.cooldown.wait_s(loop.time()):
-            raise unavailable(path, "it asked for rest")
+            raise unavailable(path, "in the cool-down that it requested")
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with self.http.pooled.request(
                 method, self.base_url + path, timeout=timeout, **options
             ) as response:
-                says = parse_signals(response.status, response.headers)
-                self.cooldown.observe(says.cooldown, loop.time())
-                return response.status, await response.read(), says
+                signals = parse_signals(response.status, response.headers)
+                self.cooldown.observe(signals.cooldown, loop.time())
+                return response.status, await response.read(), signals
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             raise unavailable(path, repr(error)) from error
 
     async def report(self) -> EngineReport:
         """Return the engine's state."""
-        status, body, says = await self.call_with_signals("GET", names.REPORT_CALL)
+        status, body, signals = await self.call_with_signals("GET", names.REPORT_CALL)
         if status != HTTP_OK:
             raise unavailable(names.REPORT_CALL, f"status {status}")
         try:
             wire = msgspec.json.decode(body, type=WireReport)
         except msgspec.DecodeError as error:
             raise unavailable(names.REPORT_CALL, str(error)) from error
-        return decode_report(wire)._replace(leaving=says.leaving)
+        return decode_report(wire)._replace(leaving=signals.leaving)
 
     async def staged(self, model: str) -> set[int]:
-        """Return which pieces lie there."""
+        """Return the positions of the staged pieces."""
         path = names.STAGED_CALL.format(model=model)
         status, body = await self.call("GET", path)
         if status != HTTP_OK:
@@ -127,20 +128,20 @@
             raise unavailable(path, str(error)) from error
 
     async def staged_piece(self, model: str, position: int) -> bytes | None:
-        """Return a piece that lies there."""
+        """Return a staged piece; None if it is not staged."""
         path = names.STAGED_CALL.format(model=model)
         status, body = await self.call("GET", f"{path}?quantity={position}")
         return body if status == HTTP_OK else None
 
     async def stage(self, model: str, position: int, data: bytes) -> None:
-        """Put a piece there."""
+        """Stage a piece."""
         path = names.STAGE_CALL.format(model=model)
         status, _ = await self.call("PUT", f"{path}?quantity={position}", data=data)
         if status >= 300:
             raise unavailable(path, f"status {status}")
 
     async def load(self, model: str, version: int) -> OrderOutcome:
-        """Order the engine to load what lies there."""
+        """Order the engine to load the staged pieces."""
         order = msgspec.json.encode(WireOrder("start", model, version, "wait"))
         status, _ = await self.call(
             "POST",
@@ -154,7 +155,7 @@
 
 
 def decode_report(wire: WireReport) -> EngineReport:
-    """Read a report; a model without layers of its version counts as not held."""
+    """Decode a report; without loaded layers no model counts as held."""
     versions = {model.name: model.version for model in wire.models}
     if wire.layers is not None and wire.layers.end <= wire.layers.first:
         versions = {}
@@ -162,5 +163,5 @@
 
 
 def unavailable(path: str, reason: str) -> WeightsError:
-    """Make the error for an engine that does not answer as it should."""
+    """Return the error for an engine that fails or sends an unexpected response."""
     return WeightsError(ResultCode.SOURCE_UNAVAILABLE, f"engine {path}: {reason}")
--- a/src/wisteriapulley/platform/http.py
+++ b/src/wisteriapulley/platform/http.py
@@ -1,28 +1,28 @@
-"""The one HTTP client of the adapter: to targets, engines and the origin."""
+"""HTTP client for targets, engines and the origin."""
 
 import functools
 
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-# A connection within a region takes a millisecond; a host without power answers
-# nothing, and the request then still has time for another target.
+# Connecting within a region takes a millisecond. A host without power does not
+# respond at all, and the request must keep enough time for another target.
 CONNECT_TIMEOUT_S = 0.4
-# Below the time after which targets close idle connections.
+# Less than the time after which targets close idle connections.
 KEEPALIVE_S = 4.0
 DEFAULT_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 NO_LIMIT = 0
 
 
 class StrictHandler(ResponseHandler):
-    """A connection whose reset never looks like the end of an answer.
+    """A connection that reports a reset as an error in the response body.
 
-    An answer without a length ends with its connection, and the library takes a
-    reset for such an end.
+    A response without a length ends when its connection closes, and aiohttp treats a
+    reset as such an end.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Mark the answer in progress as broken before it counts as ended."""
+        """Mark the response in progress as broken before aiohttp treats it as ended."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(f"reset: {exc}"))
@@ -30,14 +30,14 @@
 
 
 class HttpClient:
-    """Sessions on one pool of kept connections, and on none."""
+    """One session with a connection pool, and one without."""
 
     def __init__(self):
         self.pooled = new_session(force_close=False)
         self.unpooled = new_session(force_close=True)
 
     def session(self, fresh: bool) -> aiohttp.ClientSession:
-        """Return the session that keeps connections, or the one that does not."""
+        """Return the unpooled session if `fresh`, else the pooled one."""
         return self.unpooled if fresh else self.pooled
 
     async def close(self) -> None:
@@ -47,7 +47,7 @@
 
 
 def new_session(force_close: bool) -> aiohttp.ClientSession:
-    """Make a session that changes nothing of what it sends and receives."""
+    """Return a session that leaves headers and bodies unchanged."""
     options = {} if force_close else {"keepalive_timeout": KEEPALIVE_S}
     connector = aiohttp.TCPConnector(
         limit=NO_LIMIT, limit_per_host=NO_LIMIT, force_close=force_close, **options
@@ -62,6 +62,6 @@
         max_line_size=65536,
         max_field_size=65536,
     )
-    # The library would send again by itself what may have run.
+    # aiohttp would retry by itself a request that may have run.
     session._retry_connection = False
     return session
--- a/src/wisteriapulley/platform/ingress.py
+++ b/src/wisteriapulley/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: requests in, answers out."""
+"""HTTP server for callers."""
 
 import asyncio
 import logging
@@ -20,11 +20,11 @@
 
 log = logging.getLogger(__name__)
 
-# Above what the operator's limits allow, so that they decide.
+# Above the operator's limits, so that those take effect first.
 MAX_HEADER_BYTES = 65536
-# Kept connections may rest longer than the operator's limit lets callers use them.
+# Longer than the operator's idle limit, within which callers may reuse a connection.
 KEEPALIVE_S = 75.0
-# For connections that are left after all requests have ended.
+# For connections that are still open after all requests have ended.
 CLOSE_TIMEOUT_S = 0.2
 DEFAULT_MAX_WAIT_MS = 30_000
 STATUS_BY_REFUSAL = {
@@ -44,7 +44,7 @@
 
 
 class HttpCallerAnswer:
-    """The answer to one caller; see `direct.types.CallerAnswer`."""
+    """The response to one caller; see `direct.types.CallerAnswer`."""
 
     def __init__(self, request: web.BaseRequest, is_closing: Callable[[], bool]):
         self.request = request
@@ -53,7 +53,7 @@
 
     @property
     def started(self) -> bool:
-        """Whether the head has left."""
+        """Whether the head was sent."""
         return self.response is not None
 
     async def start(self, status: int, headers: Headers, length: int | None) -> None:
@@ -74,11 +74,11 @@
             await self.response.write(data)
 
     async def finish(self) -> None:
-        """Send the end."""
+        """Send the end of the body."""
         await self.response.write_eof()
 
     def cut(self) -> None:
-        """Close the connection without an end."""
+        """Abort the connection without ending the body."""
         if self.request.transport is not None:
             self.request.transport.abort()
 
@@ -94,14 +94,14 @@
 
 
 class Ingress:
-    """Listens for callers.
+    """HTTP server for callers.
 
     Parameters
     ----------
     serve : callable
-        Answers a request, or returns why it gets no target's answer.
+        Responds to a request, or returns the refusal to send instead.
     most_body_bytes : int
-        Longest body that is read.
+        Maximum length of a request body.
     """
 
     def __init__(self, serve: RequestHandler, max_body_bytes: int):
@@ -113,12 +113,12 @@
         self.site: web.TCPSite | None = None
 
     async def start(self, address: Address) -> None:
-        """Listen.
+        """Start listening.
 
         Raises
         ------
         SettingsError
-            ADDRESS_CLASH.
+            ADDRESS_CLASH: the address can't be bound.
         """
         server = web.Server(
             self.handle,
@@ -140,11 +140,12 @@
             await self.site.start()
         except OSError as error:
             raise SettingsError(
-                ResultCode.ADDRESS_CLASH, f"callers' address {address}: {error}"
+                ResultCode.ADDRESS_CLASH,
+                f"cannot listen for callers at {address}: {error}",
             ) from error
 
     def new_request(self, message, payload, protocol, writer, task) -> web.BaseRequest:
-        """Make the library's request with our limit of its body."""
+        """Return an aiohttp request that has the configured body limit."""
         loop = asyncio.get_running_loop()
         return web.BaseRequest(
             message,
@@ -157,7 +158,7 @@
         )
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request, unless its connection is closed already."""
+        """Serve one request, unless its connection is already closed."""
         if request.transport is None or request.transport.is_closing():
             return web.StreamResponse(status=503)
         self.active.add(request.protocol)
@@ -176,15 +177,15 @@
         return answer.response or web.StreamResponse(status=500)
 
     async def drain(self, accept_s: float, max_s: float) -> None:
-        """Finish what is in progress, then close.
+        """Finish requests in progress, then close idle connections.
 
         Parameters
         ----------
-        listen_s : float
-            How long new connections and requests still are taken: the balancer
-            and callers need this time to notice.
-        most_s : float
-            How long requests in progress have in all.
+        accept_s : float
+            How long new connections and requests are still accepted, in seconds:
+            the load balancer and callers need this time to notice the drain.
+        max_s : float
+            Time limit of the whole drain, in seconds.
         """
         self.closing = True
         loop = asyncio.get_running_loop()
@@ -202,7 +203,7 @@
 
 
 def decode_request(request: web.BaseRequest, body: bytes) -> CallerRequest:
-    """Read a request into the product's type."""
+    """Return the product's form of a request."""
     headers = request.headers
     target = request._message.path
     prompt_tokens, max_answer_tokens = parse_token_counts(
@@ -232,7 +233,7 @@
 
 
 def forwarded_headers(request: web.BaseRequest) -> Headers:
-    """Return the headers that go on to the target, as they came."""
+    """Return the headers to forward to the target, unchanged."""
     connection_header = request.headers.get("Connection", "").lower()
     dropped = names.CONNECTION_HEADERS | names.ENTRY_HEADERS
     dropped |= {token.strip() for token in connection_header.split(",")}
@@ -244,12 +245,12 @@
 
 
 def parse_host(header: str) -> str:
-    """Return the host without its port."""
+    """Return the lower-case host of a ``Host`` header, without its port."""
     return header.rpartition(":")[0].lower() if ":" in header else header.lower()
 
 
 def parse_api_key(header: str) -> str:
-    """Return the key of an authorization header; empty for another scheme."""
+    """Return the key of an ``Authorization`` header; empty for other schemes."""
     return (
         header[len(names.BEARER_PREFIX) :]
         if header.startswith(names.BEARER_PREFIX)
@@ -258,7 +259,7 @@
 
 
 def parse_max_wait_ms(text: str) -> float:
-    """Read how long the caller waits; a default where it does not say."""
+    """Return how long the caller waits, or a default if the header has no number."""
     try:
         return max(0.0, float(text))
     except ValueError:
@@ -266,7 +267,7 @@
 
 
 def parse_count(text: str) -> int:
-    """Read a number of tokens; 0 where it can't be read."""
+    """Return a number of tokens; 0 if the text is invalid."""
     try:
         return max(0, int(float(text)))
     except (ValueError, OverflowError):
@@ -274,7 +275,7 @@
 
 
 def parse_token_counts(text: str) -> tuple[int, int]:
-    """Read prompt and answer tokens; 0 where they can't be read."""
+    """Return prompt tokens and maximum answer tokens; 0, 0 if the text is invalid."""
     try:
         prompt, answer = map(int, text.split(","))
     except ValueError:
--- a/src/wisteriapulley/platform/names.py
+++ b/src/wisteriapulley/platform/names.py
@@ -1,26 +1,26 @@
-"""Names of the platform's headers and calls, each in one place."""
+"""Names of the platform's headers, status codes and calls."""
 
-# Headers of requests and answers.
+# Headers of requests and responses.
 REQUEST_ID = "X-Request-Attempt-Id"
-# Milliseconds that the sender still waits.
+# Milliseconds that the sender will still wait.
 DEADLINE_MS = "X-Deadline-Ms"
-# Incarnation that must be at the address.
+# Id of the target that must be at the address.
 EXPECTED_TARGET = "X-Expect-Instance"
 EXPECTED_VERSION = "X-Expect-Version"
 ACCOUNT = "X-Tenant"
-# Prompt tokens and most answer tokens, separated by a comma.
+# Prompt tokens and maximum answer tokens, separated by a comma.
 TOKEN_COUNTS = "X-Token-Counts"
-# The caller's estimate of the answer's tokens: right in the median, often far off.
+# The caller's estimate of the answer tokens: right in the median, often far off.
 LENGTH_HINT = "X-Length-Hint"
 LAST_EVENT = "Last-Event-Id"
 NOT_RUN = "X-Not-Executed"
-# Running, waiting and slots, separated by commas.
+# Running requests, waiting requests and slots, separated by commas.
 LOAD = "X-Server-Load"
-# Requests a second that the target takes from all senders together.
+# Requests per second that the target accepts from all senders together.
 RATE_LIMIT = "Server-Limit"
-# Seconds for which a target that is unavailable wants nothing from who it answers.
+# Seconds for which an unavailable target asks the sender to send no requests.
 RETRY_AFTER = "Retry-After"
-# Whether the target is about to end.
+# Whether the target is about to shut down.
 LEAVING = "Server-Leaving"
 LEAVING_VALUE = "1"
 DATE = "Date"
@@ -29,7 +29,7 @@
 MISDIRECTED_STATUS = 421
 UNAVAILABLE_STATUS = 503
 
-# Headers of one connection: never passed on.
+# Hop-by-hop headers: never forwarded.
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
@@ -45,7 +45,7 @@
         "expect",
     }
 )
-# Headers of a request that the entry sets or reads itself.
+# Request headers that the entry reads or sets itself, so it does not forward them.
 ENTRY_HEADERS = frozenset(
     {
         "authorization",
--- a/src/wisteriapulley/platform/origin.py
+++ b/src/wisteriapulley/platform/origin.py
@@ -1,4 +1,4 @@
-"""The origin of weights."""
+"""HTTP client for the origin of the weights."""
 
 import aiohttp
 import msgspec
@@ -8,14 +8,14 @@
 from wisteriapulley.platform.http import HttpClient
 from wisteriapulley.weights.pieces import PieceManifest
 
-# A piece takes 26 ms of the origin's link; more callers than one share it.
+# A piece takes 26 ms of the origin's link, which several callers share.
 PIECE_TIMEOUT_S = 0.7
 MANIFEST_TIMEOUT_S = 1.5
 HTTP_OK = 200
 
 
 class WireManifest(msgspec.Struct):
-    """Digests of a version's pieces."""
+    """Digests of the pieces of a version."""
 
     model: str
     version: int
@@ -26,19 +26,20 @@
 
 
 class HttpOrigin:
-    """The origin at one address; see `weights.pieces.PieceSource`."""
+    """Client of the origin at one address; see `weights.pieces.PieceSource`."""
 
     def __init__(self, http: HttpClient, address: str):
         self.http = http
         self.base_url = f"http://{address}"
 
     async def get(self, path: str, timeout_s: float) -> bytes:
-        """Make one call.
+        """Make one call; return the body.
 
         Raises
         ------
         WeightsError
-            SOURCE_UNAVAILABLE.
+            SOURCE_UNAVAILABLE: the origin did not respond within `timeout_s`, or
+            with an error.
         """
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         try:
@@ -53,7 +54,7 @@
         return body
 
     async def manifest(self, model: str, version: int) -> PieceManifest:
-        """Return a manifest; version 0 is the newest."""
+        """Return the manifest of a version; version 0 is the newest."""
         path = names.MANIFEST_CALL.format(model=model)
         if version:
             path += f"?version={version}"
@@ -68,12 +69,12 @@
         )
 
     async def piece(self, model: str, version: int, position: int) -> bytes:
-        """Return a piece, not verified."""
+        """Return a piece; its digest is not verified."""
         path = names.PIECE_CALL.format(model=model)
         path += f"?quantity={position}&version={version}"
         return await self.get(path, PIECE_TIMEOUT_S)
 
 
 def unavailable(path: str, reason: str) -> WeightsError:
-    """Make the error for an origin that does not answer as it should."""
+    """Return the error for an origin that fails or sends an unexpected response."""
     return WeightsError(ResultCode.SOURCE_UNAVAILABLE, f"origin {path}: {reason}")
--- a/src/wisteriapulley/platform/settings.py
+++ b/src/wisteriapulley/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read into the product's settings."""
+"""Converts the platform's settings file to the product's settings."""
 
 import tomllib
 from pathlib import Path
@@ -9,34 +9,36 @@
 from wisteriapulley.errors import ResultCode, SettingsError
 from wisteriapulley.settings import Address, ControlSettings
 
-# Ports of our own within the range that the platform leaves to us. Two of our
-# processes may share a host, so each purpose has its own; they are the same on
-# every host.
+# Offsets into the port range that the platform reserves for the product. Two
+# daemons may share a host, so each purpose has its own port; the offsets are the
+# same on every host.
 CONTROL_WIRE_PORT_OFFSET = 0
 SIDECAR_WIRE_PORT_OFFSET = 1
-# Ports of the metrics of each daemon: fixed, since the deploy file names them.
+# Metrics ports of the daemons; fixed because the deploy file names them.
 CONTROL_HTTP_PORT = 9102
 ENTRY_HTTP_PORT = 9101
 SIDECAR_HTTP_PORT = 9103
 
-# A peer that is silent for a second is away, and the platform wants news in force
-# within two. Three heartbeats fit in the time of silence; an entry of a large fleet
-# has fifty links, so more of them cost processor time that requests need.
+# A peer that is silent for about a second counts as unreachable, since the platform
+# requires that updates take effect within two seconds. Three heartbeats fit into
+# SILENCE_MS; an entry of a large fleet has fifty links, so more frequent heartbeats
+# would cost processor time that requests need.
 HEARTBEAT_MS = 400
 SILENCE_MS = 1200
-# Two election timeouts and a round of appends stay below the time that an
-# operator waits for an acknowledgement.
+# Two election timeouts and one round of appends take less time than an operator
+# waits for an acknowledgement.
 ELECTION_MS = 600
 LEASE_MS = 400
 RAFT_HEARTBEAT_MS = 100
-# Targets that miss so many of their heartbeats are forgotten.
+# Number of missed heartbeats after which a target is removed.
 TARGET_LEASE_HEARTBEATS = 6
-# Left of the platform's grace after a stop signal for our own closing.
+# Fraction of the platform's grace period after a stop signal that a drain may use;
+# the rest is for closing.
 DRAIN_FRACTION = 0.9
 
 
 class Listen(msgspec.Struct, rename="kebab"):
-    """Addresses for what a role serves."""
+    """Addresses at which the roles listen."""
 
     frontend: str = ""
     readiness: str = ""
@@ -44,30 +46,30 @@
 
 
 class Limits(msgspec.Struct, rename="kebab"):
-    """What the host has."""
+    """Limits of the host."""
 
     link_mbps: float = 0.0
 
 
 class Tolerance(msgspec.Struct):
-    """How many hosts with a disk may be lost at once."""
+    """How many hosts with a disk may fail at once."""
 
     machines: int = 1
 
 
 class Bounds(msgspec.Struct):
-    """The platform's time limits and budgets, as far as they are used."""
+    """The platform's time limits and budgets; only the keys that are used."""
 
     grace_period_s: float = msgspec.field(name="grace-period-s", default=8.0)
     retry_budget_ratio: float = msgspec.field(name="retry-budget-ratio", default=0.1)
     retry_budget_slack: float = msgspec.field(name="retry-budget-slack", default=20)
     budget_window_s: float = msgspec.field(name="budget-window-s", default=10.0)
-    # Longest time that a replaced version of weights may begin requests.
+    # Grace period in which a superseded version of weights may start requests.
     version_ms: int = 8000
 
 
 class PlatformSettings(msgspec.Struct, rename="kebab"):
-    """One process's settings file; unknown keys are ignored.
+    """The settings file of one process; unknown keys are ignored.
 
     `zone` is a failure domain, and `zones` gives the region of each.
     """
@@ -78,7 +80,7 @@
     internal_port_range: tuple[int, int]
     seed_nodes: list[str]
     bootstrap: bool = False
-    # Whether the host has a disk whose loss counts.
+    # Whether the host has a disk, so that its failure counts for fault tolerance.
     counts_as_loss: bool = False
     data_directory: str = ""
     heartbeat_interval_ms: int = 1200
@@ -93,12 +95,13 @@
 
     @classmethod
     def from_file(cls, path: str) -> "PlatformSettings":
-        """Read the file.
+        """Read a settings file.
 
         Raises
         ------
         SettingsError
-            It can't be read, or a key is missing or wrong.
+            SETTINGS_UNREADABLE: the file can't be read or is not TOML.
+            SETTINGS_INVALID: a key is missing or has an invalid value.
         """
         try:
             text = Path(path).read_text()
@@ -113,21 +116,21 @@
             ) from error
 
     def internal_address(self, port_offset: int) -> Address:
-        """Return an address of our own on this host."""
+        """Return the address of a reserved port on this host."""
         return Address(self.ip_address, self.internal_port_range[0] + port_offset)
 
     def control_wire_address(self) -> Address:
-        """Return where a control instance on this host takes links."""
+        """Return the wire address of a control instance on this host."""
         return self.internal_address(CONTROL_WIRE_PORT_OFFSET)
 
     def seeds(self) -> tuple[Address, ...]:
-        """Return the wire addresses of the control instances to begin with."""
+        """Return the wire addresses of the seed control instances."""
         port = self.internal_port_range[0] + CONTROL_WIRE_PORT_OFFSET
         hosts = (seed.rpartition(":")[0] for seed in self.seed_nodes)
         return tuple(Address(host, port) for host in hosts)
 
     def common(self, http_port: int, key_file: str) -> dict[str, object]:
-        """Return the settings that every daemon has."""
+        """Return the settings that all daemons share."""
         return {
             "failure_domain": self.zone,
             "http_listen": Address(self.ip_address, http_port),
@@ -139,7 +142,7 @@
         }
 
     def control(self, key_file: str) -> ControlSettings:
-        """Make the settings of a control instance; its host names it."""
+        """Return the settings of a control instance; its node id is its IP address."""
         return ControlSettings(
             node_id=self.ip_address,
             wire_listen=self.control_wire_address(),
@@ -156,7 +159,7 @@
         )
 
     def direct(self, key_file: str) -> DirectSettings:
-        """Make the settings of an entry."""
+        """Return the settings of an entry."""
         bounds = self.bounds
         return DirectSettings(
             node_id=f"entry-{self.node_name}",
@@ -172,7 +175,7 @@
         )
 
     def rollout(self, key_file: str) -> RolloutSettings:
-        """Make the settings of a sidecar."""
+        """Return the settings of a sidecar."""
         return RolloutSettings(
             node_id=f"sidecar-{self.node_name}",
             wire_listen=self.internal_address(SIDECAR_WIRE_PORT_OFFSET),
--- a/src/wisteriapulley/platform/signal_parsing.py
+++ b/src/wisteriapulley/platform/signal_parsing.py
@@ -1,4 +1,4 @@
-"""Reads what targets say of themselves in the heads of their answers."""
+"""Parses the signals that targets report in their response headers."""
 
 import contextlib
 import math
@@ -18,20 +18,20 @@
 HttpHeaders = CIMultiDict[str] | CIMultiDictProxy[str]
 
 DECIMAL = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
-# A longer rest counts as this one, in seconds: what is that far away is more likely
-# a mistake than a plan, and a target that means it says so again.
+# Longer cool-downs are cut to this one: a longer one is more likely a mistake than
+# intended, and a target that intends it requests it again.
 MAX_COOLDOWN_S = 86_400.0
 
 
 def parse_signals(status: int, headers: HttpHeaders) -> ResponseSignals:
-    """Read all that an answer says of its target.
+    """Return all signals that a response reports about its target.
 
     Parameters
     ----------
     status : int
-        HTTP status of the answer.
+        HTTP status of the response.
     headers : multidict
-        Its headers.
+        Headers of the response.
     """
     return ResponseSignals(
         parse_load(headers.get(names.LOAD, "")),
@@ -42,7 +42,7 @@
 
 
 def parse_load(text: str) -> TargetLoad | None:
-    """Read a target's load; None where it tells none that can be read."""
+    """Return a target's load; None if the text is empty or invalid."""
     with contextlib.suppress(ValueError):
         running, waiting, slots = map(int, text.split(","))
         return TargetLoad(running, waiting, slots)
@@ -50,7 +50,7 @@
 
 
 def parse_rate(texts: list[str]) -> AdvertisedRate:
-    """Read a target's stated rate; of several the lowest one that can be read."""
+    """Return a target's advertised rate: the lowest valid one of several."""
     rates, invalid_text = [], ""
     for text in texts:
         if DECIMAL.fullmatch(text) and math.isfinite(float(text)):
@@ -61,10 +61,10 @@
 
 
 def parse_cooldown(status: int, headers: HttpHeaders) -> RequestedCooldown:
-    """Read the rest that a target asks for; of several the longest one.
+    """Return the cool-down that a target requests: the longest one of several.
 
-    Only a refusal for the target's own state counts: with other statuses the header
-    speaks of one request or one account (RFC 9110, 10.2.3; RFC 6585, 4).
+    Only status 503 describes the target's own state: with other statuses the header
+    applies to one request or one account (RFC 9110, 10.2.3; RFC 6585, 4).
     """
     if status != names.UNAVAILABLE_STATUS:
         return RequestedCooldown()
@@ -80,17 +80,17 @@
 
 
 def parse_seconds(text: str, response_date: str) -> float | None:
-    """Read a time as seconds or as a date; None where it is neither.
+    """Return a delay in seconds, given as a number or a date; None if invalid.
 
-    A date counts from the answer's own, so that the target's clock need not agree
-    with that of this instance.
+    A date is relative to the ``Date`` header of the response, so that the clocks of
+    the target and of this instance need not agree.
 
     Parameters
     ----------
     text : str
-        The time.
-    answered : str
-        Date of the answer; empty where it bears none.
+        Number of seconds or HTTP date.
+    response_date : str
+        ``Date`` header of the response; empty if it has none.
     """
     if DECIMAL.fullmatch(text):
         return float(text)
--- a/src/wisteriapulley/platform/target_client.py
+++ b/src/wisteriapulley/platform/target_client.py
@@ -1,4 +1,4 @@
-"""Sends requests to targets, and reads their answers."""
+"""HTTP client for targets."""
 
 from collections.abc import AsyncIterator
 
@@ -21,7 +21,7 @@
 
 
 class HttpTargetClient:
-    """Targets that speak the platform's HTTP."""
+    """Sends requests to targets in the platform's HTTP format."""
 
     def __init__(self, http: HttpClient):
         self.http = http
@@ -44,12 +44,12 @@
         answer = HttpTargetAnswer(response)
         if not answer.matches_request(request.request_id):
             answer.close()
-            raise BrokenAnswerError("the answer belongs to another request")
+            raise BrokenAnswerError("response names another request")
         return answer
 
 
 class HttpTargetAnswer:
-    """An answer whose head has arrived; see `direct.types.TargetAnswer`."""
+    """A response whose head has arrived; see `direct.types.TargetAnswer`."""
 
     def __init__(self, response: aiohttp.ClientResponse):
         self.response = response
@@ -62,12 +62,12 @@
         self.signals = parse_signals(response.status, response.headers)
 
     def matches_request(self, request_id: str) -> bool:
-        """Tell whether the answer names the request; refusals need not."""
+        """Return whether the response names the request; rejections may omit it."""
         echoed = self.response.headers.get(names.REQUEST_ID)
         return echoed == request_id or (echoed is None and self.not_run)
 
     async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes."""
+        """Yield the body as it arrives."""
         try:
             async for data, _ in self.response.content.iter_chunks():
                 if data:
@@ -76,12 +76,12 @@
             raise BrokenAnswerError(repr(error)) from error
 
     def close(self) -> None:
-        """Keep the connection if the answer was read whole, else close it."""
+        """Keep the connection if the response was read completely, else close it."""
         self.response.close()
 
 
 def request_headers(request: CallerRequest, plan: SendPlan) -> CIMultiDict:
-    """Make the headers of a request to a target."""
+    """Return the headers of a request to a target."""
     headers = CIMultiDict(request.headers)
     headers[names.DEADLINE_MS] = str(int(plan.remaining_s * 1000))
     headers[names.EXPECTED_TARGET] = plan.target_id
@@ -95,7 +95,7 @@
 
 
 def forwarded_headers(response: aiohttp.ClientResponse) -> Headers:
-    """Return the headers that are passed on to the caller."""
+    """Return the headers to forward to the caller."""
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in response.raw_headers
