--- a/deploy/run.py
+++ b/deploy/run.py
@@ -1,9 +1,9 @@
 """Starts one daemon on the platform: ``run.py ROLE``.
 
-Signals are handled before anything else is imported: until then a change of
-settings must not end the process, and a stop ends it cleanly. The build leaves a
-compiled copy of the package under ``target/app``; compiling it at each start took a
-third of the start.
+Signal handlers are set before anything else is imported: during the imports a change
+of settings must not end the process, and a stop signal must end it cleanly. The build
+puts a compiled copy of the package into ``target/app``, since compiling it at each
+start takes a third of the start-up time.
 """
 
 import signal
@@ -22,33 +22,33 @@
 
 
 def skip_unused_imports() -> None:
-    """Leave out what the libraries import and no daemon uses.
+    """Skip what the libraries import or read and no daemon uses.
 
-    After a loss of all instances nobody is served until the processes have
-    started. Without this, and without the interpreter's ``site``, an entry's
-    start takes 0.51 s of processor time in place of 0.35 s. The deploy file starts
-    the interpreter with ``-S``, since the packages stand on its path already.
+    After an outage of all instances no request is served until the processes have
+    started. Skipping this and the interpreter's ``site`` module reduces the processor
+    time of an entry's start from 0.51 s to 0.35 s. The deploy file starts the
+    interpreter with ``-S``, since the packages are on its path already.
     """
-    # Reading the certificates of public authorities: no daemon speaks TLS.
+    # Certificates of public authorities: no daemon uses TLS.
     os.environ["SSL_CERT_FILE"] = os.devnull
     os.environ["SSL_CERT_DIR"] = os.devnull
-    # Searching all packages for plugins.
+    # The search of all packages for plugins.
     os.environ["AIOMISC_NO_PLUGINS"] = "1"
-    # Coloured logs; they are JSON here.
+    # Coloured logs: the daemons log JSON.
     sys.modules["rich"] = None
 
 
 def start(role: str) -> int:
     """Run a daemon; return its exit status."""
-    # What is imported stays: collecting it again and again while it grows, and
-    # with each full collection later, is of no use.
+    # Imported modules are never freed. Scanning them during the imports, and again in
+    # each later full collection, is useless.
     gc.disable()
     skip_unused_imports()
     sys.path.insert(
         0, str(BUILT_SOURCES if BUILT_SOURCES.is_dir() else HERE.parent / "src")
     )
 
-    import wisteriapulley.clocks  # noqa: F401  (notes when the process began)
+    import wisteriapulley.clocks  # noqa: F401  (records when the process started)
     from wisteriapulley.platform.daemons import main
 
     return main(role, str(HERE / "fleet.key"))
--- a/src/wisteriapulley/wire/__init__.py
+++ b/src/wisteriapulley/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Links between the system's own processes."""
+"""Links between the processes of the system."""
 
 from wisteriapulley.wire import messages
 from wisteriapulley.wire.call import Call
--- a/src/wisteriapulley/wire/call.py
+++ b/src/wisteriapulley/wire/call.py
@@ -1,4 +1,4 @@
-"""A request in flight over a link, and the failure that may answer it."""
+"""An in-flight request over a link, and the failure that may be its reply."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,14 +13,14 @@
 
 
 class Call:
-    """A request in flight: its replies, in order.
+    """An in-flight request and its replies, in order.
 
     Parameters
     ----------
     link : Link
-        Where it was sent.
+        Link over which the request was sent.
     id : int
-        Frame id that replies name.
+        Frame id of the request, which replies refer to.
     """
 
     def __init__(self, link: "Link", id: int):
@@ -57,17 +57,18 @@
             yield await self.reply()
 
     def close(self) -> None:
-        """Forget the call; later replies are dropped and counted."""
+        """Remove the call; later replies are dropped and counted."""
         self.link.calls.pop(self.id, None)
 
 
 def raise_failure(frame: Frame) -> None:
-    """Raise what a `Failure` frame carries; let others pass."""
+    """Raise the error that a `Failure` frame carries; ignore other frames."""
     if isinstance(frame.message, Failure):
         failure = frame.message
         try:
             code = ResultCode(failure.code)
         except ValueError:
-            # A newer peer's code says nothing here, least of all "not run".
+            # A code of a newer peer is unknown here. In particular, it must not be
+            # read as a promise that the request did not run.
             code = ResultCode.UNEXPECTED_MESSAGE
         raise WisteriapulleyError(code, failure.message, failure.retry_after_ms)
--- a/src/wisteriapulley/wire/codec.py
+++ b/src/wisteriapulley/wire/codec.py
@@ -1,7 +1,7 @@
-"""Frames: a fixed header, a Cap'n Proto message, then raw bytes.
+"""Encodes frames: a fixed header, a Cap'n Proto message, then raw bytes.
 
-Chunk and answer bodies travel behind the message rather than in a Data field,
-so that they are never copied into a Cap'n Proto segment.
+Bodies of chunks and answers follow the message instead of being a Data field, so
+that they are never copied into a Cap'n Proto segment.
 """
 
 import functools
@@ -26,18 +26,18 @@
 TRAVERSAL_LIMIT_WORDS = MAX_MESSAGE_BYTES // 4
 
 
-# A header alone repeats the sender's last heartbeat: most links have nothing new
-# to tell most of the time, and a whole heartbeat takes 180 bytes.
+# A header alone repeats the sender's last heartbeat. Most heartbeats contain nothing
+# new, and a full one takes 180 bytes.
 KEEP_ALIVE = HEADER.pack(MAGIC, 0, 0)
-# Frame id of news that take no answer.
+# Frame id of one-way messages, which take no reply.
 NO_ID = 0
-# Different loads of engines that are remembered encoded, and as many decoded: the
-# requests that run and wait at one of them are some dozens.
+# Number of distinct loads that are cached encoded, and as many decoded. An engine has
+# a few dozen running and waiting requests, so few distinct loads occur.
 LOAD_CACHE_SIZE = 512
 
 
 class Frame(NamedTuple):
-    """One message with its correlation numbers and raw body."""
+    """One message with its correlation ids and raw body."""
 
     id: int
     reply_to: int
@@ -51,11 +51,11 @@
     Attributes
     ----------
     name : str
-        In the message class.
+        Name in the message class.
     wire_name : str
-        In the schema.
+        Name in the schema.
     schema : capnp schema field
-        Its entry there: access by name looks it up again each time.
+        Field in the schema, kept because access by name looks it up each time.
     element : type or None
         Message class of the value, or of a list's items.
     is_list : bool
@@ -70,13 +70,13 @@
 
 
 def to_camel_case(name: str) -> str:
-    """Turn ``snake_case`` or ``PascalCase`` into ``camelCase``."""
+    """Convert ``snake_case`` or ``PascalCase`` to ``camelCase``."""
     text = re.sub("_([a-z])", lambda match: match[1].upper(), name)
     return text[0].lower() + text[1:]
 
 
 def field_codecs(kind: type) -> tuple[FieldCodec, ...]:
-    """Work out the fields of the message class `kind` from its annotations."""
+    """Return the field codecs of the message class `kind`, from its annotations."""
     hints = typing.get_type_hints(kind)
     schema = getattr(SCHEMA, kind.__name__).schema.fields
     return tuple(
@@ -86,7 +86,7 @@
 
 
 def field_codec(name: str, hint: type, schema: object) -> FieldCodec:
-    """Work out one field from its annotation."""
+    """Return the codec of one field, from its annotation."""
     is_list = typing.get_origin(hint) is tuple
     inner = typing.get_args(hint)[0] if is_list else hint
     element = inner if hasattr(inner, "_fields") else None
@@ -101,7 +101,7 @@
 WIRE_NAMES = {kind: to_camel_case(kind.__name__) for kind in CODECS}
 FRAME_FIELDS = SCHEMA.Frame.schema.fields
 ID_FIELD, REPLY_TO_FIELD = FRAME_FIELDS["id"], FRAME_FIELDS["replyTo"]
-# Only these stand in a frame by themselves.
+# Messages that a frame can carry; the other classes are nested in them.
 FRAME_MESSAGES: dict[str, type] = {
     name: kind
     for kind, name in WIRE_NAMES.items()
@@ -148,7 +148,7 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """Encode a frame's header and message; the body goes behind them.
+    """Encode a frame's header and message, without the body.
 
     Returns
     -------
@@ -163,21 +163,22 @@
 
 @functools.lru_cache(LOAD_CACHE_SIZE)
 def encode_load(load: messages.Load) -> bytes:
-    """Encode a load as news.
+    """Encode a load as a one-way message.
 
-    Load: each engine tells its load to all entries near it some ten times a second.
-    Gain: equal loads are encoded once, and decoded once.
+    Each engine sends its load to all entries near it about ten times a second. With
+    the cache, equal loads are encoded once and decoded once.
     """
     return encode(Frame(NO_ID, 0, load))
 
 
 def parse_header(header: bytes) -> tuple[int, int]:
-    """Read the lengths of message and body.
+    """Return the lengths of message and body.
 
     Raises
     ------
     WireError
-        The header is not ours, or a length is over its limit.
+        FRAME_MALFORMED: the header does not start with `MAGIC`.
+        FRAME_TOO_LARGE: a length exceeds its limit.
     """
     magic, message_bytes, body_bytes = HEADER.unpack(header)
     if magic != MAGIC:
@@ -199,7 +200,7 @@
     Raises
     ------
     WireError
-        The payload is not a valid frame.
+        FRAME_MALFORMED: the payload is not a valid frame.
     """
     if len(payload) == LOAD_BYTES and not body:
         return decode_cached(payload)
@@ -207,7 +208,7 @@
 
 
 def decode_uncached(payload: bytes, body: bytes = b"") -> Frame:
-    """Decode a message that is not remembered; see `decode`."""
+    """Decode a message without the cache; see `decode`."""
     try:
         with SCHEMA.Frame.from_bytes(
             payload, traversal_limit_in_words=TRAVERSAL_LIMIT_WORDS
@@ -222,6 +223,7 @@
         ) from error
 
 
-# Frames as short as a load; those with an id of their own hardly ever repeat.
+# For frames of the length of a load; other messages of that length have frame ids and
+# hardly ever repeat.
 decode_cached = functools.lru_cache(LOAD_CACHE_SIZE)(decode_uncached)
 LOAD_BYTES = len(encode_load(messages.Load())) - HEADER.size
--- a/src/wisteriapulley/wire/flow.py
+++ b/src/wisteriapulley/wire/flow.py
@@ -1,22 +1,22 @@
-"""Flow control of answers: how many bytes may be on their way to a slow reader.
+"""Flow control of answers: limits the bytes in flight to a slow reader.
 
-All requests of an entry share a link to a sidecar, so TCP's own window would
-let one slow caller hold up every other answer on it.
+All requests of an entry share one link to a sidecar. With TCP's flow control alone,
+one slow caller would block all other answers on the link.
 """
 
 import asyncio
 
-# Carries 25 MB a second over a round trip of 10 ms, and bounds what an entry
-# holds of one answer: 1,000 slow callers take at most 256 MB.
+# Allows 25 MB per second at a round trip time of 10 ms, and limits how much of one
+# answer an entry buffers: 1,000 slow callers take at most 256 MB.
 ANSWER_WINDOW_BYTES = 1 << 18
-# Each credit frame stands for half a window, so small answers need none.
+# Each credit frame grants half a window, so small answers need none.
 CREDIT_BYTES = ANSWER_WINDOW_BYTES // 2
 
 
 class Window:
-    """Bytes that the sender of an answer may still send.
+    """Number of bytes that the sender of an answer may still send.
 
-    A part may be larger than what is left: the window then goes below zero
+    A part may be larger than the available window: the window then becomes negative,
     and the next part waits.
     """
 
@@ -26,14 +26,14 @@
         self.open_event.set()
 
     async def consume(self, size: int) -> None:
-        """Wait until the window is open, then take `size` bytes of it."""
+        """Wait until the window is open, then subtract `size` bytes."""
         await self.open_event.wait()
         self.available -= size
         if self.available <= 0:
             self.open_event.clear()
 
     def grant(self, size: int) -> None:
-        """Open the window by `size` bytes that the reader has consumed."""
+        """Add `size` bytes that the reader has consumed."""
         self.available += size
         if self.available > 0:
             self.open_event.set()
--- a/src/wisteriapulley/wire/framing.py
+++ b/src/wisteriapulley/wire/framing.py
@@ -9,19 +9,19 @@
 
 
 class KeepAlive(NamedTuple):
-    """A header alone: the sender's last heartbeat still holds."""
+    """Frame of a header alone: the sender's last heartbeat is still valid."""
 
 
 KEEP_ALIVE_FRAME = Frame(0, 0, KeepAlive())
 
 
 class FrameBuffer:
-    """Received bytes that are not yet taken as frames.
+    """Buffer of received bytes that yields complete frames.
 
     Parameters
     ----------
     limit : int
-        Most bytes of message and body together; 0 for the codec's own limits.
+        Maximum bytes of message and body together; 0 for the codec's own limits.
     """
 
     def __init__(self, limit: int = 0):
@@ -36,14 +36,14 @@
         self.size += len(data)
 
     def pop_frame(self) -> Frame | None:
-        """Return the next frame, or None while it is not whole.
+        """Remove and return the next frame; None if it is incomplete.
 
-        A header alone is a frame with `KeepAlive`.
+        A header alone is returned as a frame with `KeepAlive`.
 
         Raises
         ------
         WireError
-            The bytes are not a frame, or it is too long.
+            The bytes are not a frame, or the frame is too long.
         """
         if self.lengths is None:
             if self.size < codec.HEADER.size:
@@ -61,7 +61,7 @@
         return codec.decode(message, self.pop_bytes(body_bytes) if body_bytes else b"")
 
     def check_lengths(self, lengths: tuple[int, int]) -> tuple[int, int]:
-        """Refuse a frame over the limit before its bytes are kept."""
+        """Return `lengths`; reject a frame over the limit before buffering it."""
         if self.limit and sum(lengths) > self.limit:
             raise WireError(
                 ResultCode.FRAME_TOO_LARGE,
@@ -72,7 +72,7 @@
     def pop_bytes(self, count: int) -> bytes:
         """Remove and return the first `count` bytes.
 
-        A long body is joined once and never copied again.
+        A long body is joined once and not copied again.
         """
         self.size -= count
         first = self.segments[0]
--- a/src/wisteriapulley/wire/handshake.py
+++ b/src/wisteriapulley/wire/handshake.py
@@ -1,7 +1,7 @@
-"""Both ends of a link prove that they hold the fleet key.
+"""Handshake in which both ends of a link prove that they hold the fleet key.
 
-Each side signs both nonces, both names and its own direction, so a recorded
-proof fits no other link and can't be sent back to its maker.
+Each side signs both nonces, both node ids and its own direction. So a recorded proof
+is invalid on any other link and can't be reflected to its sender.
 """
 
 import hmac
@@ -17,14 +17,14 @@
 
 
 class Identity:
-    """What a process says of itself on each of its links.
+    """Identity that a process presents on each of its links.
 
     Parameters
     ----------
     node_id, role, failure_domain : str
-        Who it is and where.
+        Name, role and location of the process.
     incarnation : int
-        Grows with each start.
+        Identifies the process start; increases with each start.
     key : bytes
         The fleet key.
     """
@@ -40,7 +40,7 @@
 
     @classmethod
     def from_settings(cls, settings: NodeSettings, role: str) -> "Identity":
-        """Make the identity of a daemon that starts now.
+        """Return the identity of a daemon that starts now.
 
         Raises
         ------
@@ -56,7 +56,7 @@
         )
 
     def hello(self) -> Hello:
-        """Make the first frame of a link, with a fresh nonce."""
+        """Return the first message of a link, with a fresh nonce."""
         return Hello(
             PROTOCOL,
             self.node_id,
@@ -68,7 +68,7 @@
 
 
 def sign(key: bytes, signer: Hello, other: Hello, opener: bool) -> Proof:
-    """Sign both hellos as `signer`; `opener` says who opened the link."""
+    """Sign both hellos as `signer`; `opener` is whether `signer` opened the link."""
     parts = (
         b"opener" if opener else b"acceptor",
         signer.nonce,
@@ -86,28 +86,39 @@
     Raises
     ------
     WireError
-        The signer does not hold `key`, or the proof is of another link.
+        AUTHENTICATION_FAILED: the signer does not hold `key`, or the proof belongs to
+        another link.
     """
     expected = sign(key, signer, other, opener)
     if not hmac.compare_digest(expected.digest, proof.digest):
         raise WireError(
             ResultCode.AUTHENTICATION_FAILED,
-            f"{signer.node_id!r} did not prove the fleet key",
+            f"proof of {signer.node_id!r} does not match the fleet key",
         )
 
 
-def check_hello(mine: Hello, theirs: object) -> Hello:
-    """Check the peer's first frame."""
-    if not isinstance(theirs, Hello):
+def check_hello(own: Hello, peer: object) -> Hello:
+    """Return the peer's first message if it is a valid hello.
+
+    Raises
+    ------
+    WireError
+        AUTHENTICATION_FAILED: it is not a hello, or its nonce is not fresh.
+        PROTOCOL_MISMATCH: the peer speaks another version of the protocol.
+    """
+    if not isinstance(peer, Hello):
         raise WireError(
             ResultCode.AUTHENTICATION_FAILED,
-            f"expected Hello, got {type(theirs).__name__}",
+            f"expected Hello, got {type(peer).__name__}",
         )
-    if theirs.protocol != mine.protocol:
+    if peer.protocol != own.protocol:
         raise WireError(
             ResultCode.PROTOCOL_MISMATCH,
-            f"expected protocol {mine.protocol}, got {theirs.protocol}",
+            f"expected protocol {own.protocol}, got {peer.protocol}",
+        )
+    if len(peer.nonce) != NONCE_BYTES or peer.nonce == own.nonce:
+        raise WireError(
+            ResultCode.AUTHENTICATION_FAILED,
+            "expected a fresh nonce, got a reflected one or one of another length",
         )
-    if len(theirs.nonce) != NONCE_BYTES or theirs.nonce == mine.nonce:
-        raise WireError(ResultCode.AUTHENTICATION_FAILED, "nonce is not fresh")
-    return theirs
+    return peer
--- a/src/wisteriapulley/wire/link.py
+++ b/src/wisteriapulley/wire/link.py
@@ -1,4 +1,4 @@
-"""A link: frames both ways over one TCP connection, with heartbeats."""
+"""Links: bidirectional streams of frames over one TCP connection, with heartbeats."""
 
 import asyncio
 import itertools
@@ -22,12 +22,13 @@
 log = logging.getLogger(__name__)
 
 HANDSHAKE_TIMEOUT_S = 5.0
-# A host without power answers nothing: it is asked again soon after it is back.
-# Far above a round trip between regions.
+# A host without power does not respond, and a short time-out lets the next attempt
+# reach it soon after it is back. Far above a round trip between regions.
 CONNECT_TIMEOUT_S = 1.0
-# The handshake is read before the peer is known: nothing long is taken.
+# Limit of a handshake frame, which comes from a peer that is not authenticated yet.
 MAX_HANDSHAKE_BYTES = 4096
-# A peer that beats but does not read would grow our buffer without end.
+# A peer that sends heartbeats but does not read would let the write buffer grow
+# without limit.
 MAX_WRITE_BUFFER_BYTES = 128 << 20
 Handler = Callable[["Link", Frame], Awaitable[None]]
 
@@ -38,15 +39,15 @@
     Parameters
     ----------
     handler : callable
-        Awaited with each frame that is no reply.
+        Awaited with each frame that is not a reply.
     heartbeat : callable
-        Makes the heartbeat to send.
+        Returns the heartbeat to send.
 
     Attributes
     ----------
-    sparing : bool
-        Whether a heartbeat with nothing new is put off after other frames. Only for
-        peers that take no heartbeat as an occasion to act.
+    skips_redundant_heartbeats : bool
+        Whether an unchanged heartbeat is postponed if other frames were sent within
+        the interval. Only for peers that do not act on the arrival of a heartbeat.
     """
 
     def __init__(self, handler: Handler, heartbeat: Callable[[], Heartbeat]):
@@ -78,7 +79,7 @@
         self.on_heartbeat: Callable[[Link], None] | None = None
         self.on_close: Callable[[Link], None] | None = None
 
-    # -- asyncio's callbacks ---------------------------------------------
+    # -- asyncio callbacks -----------------------------------------------
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Keep the transport."""
@@ -99,19 +100,19 @@
         self.writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes in; before the handshake ends only for `read_frame`."""
+        """Buffer received bytes; once started, handle the frames in them."""
         self.buffer.feed(data)
         self.bytes_received += len(data)
         if self.started:
             self.last_received = asyncio.get_running_loop().time()
             self.receive_all()
         else:
-            # Nothing is read ahead of the proof but what one read brought.
+            # Before the peer is authenticated, no more than one read is buffered.
             self.transport.pause_reading()
             self.data_arrived.set()
 
     def receive_all(self) -> None:
-        """Route every whole frame that has arrived."""
+        """Handle every complete frame that has arrived."""
         try:
             while not self.closed.is_set():
                 frame = self.buffer.pop_frame()
@@ -122,7 +123,7 @@
             self.close(error)
 
     async def read_frame(self) -> Frame:
-        """Wait for one frame of the handshake."""
+        """Wait for the next frame of the handshake."""
         while True:
             frame = self.buffer.pop_frame()
             if frame is not None:
@@ -146,25 +147,26 @@
         Raises
         ------
         WireError
-            The peer is not of this fleet or did not answer in time.
+            The peer does not hold the fleet key or did not respond in time.
         """
-        mine = identity.hello()
+        own_hello = identity.hello()
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-                self.post(mine)
+                self.post(own_hello)
                 first = await self.read_frame()
-                self.peer = handshake.check_hello(mine, first.message)
-                self.post(handshake.sign(identity.key, mine, self.peer, opener))
+                self.peer = handshake.check_hello(own_hello, first.message)
+                self.post(handshake.sign(identity.key, own_hello, self.peer, opener))
                 second = await self.read_frame()
         except TimeoutError as error:
             raise WireError(
-                ResultCode.AUTHENTICATION_FAILED, "peer ended the handshake"
+                ResultCode.AUTHENTICATION_FAILED,
+                "peer did not complete the handshake in time",
             ) from error
         proof = second.message if isinstance(second.message, Proof) else Proof()
-        handshake.verify(identity.key, proof, self.peer, mine, not opener)
+        handshake.verify(identity.key, proof, self.peer, own_hello, not opener)
 
     def start(self, heartbeat_ms: int, silence_ms: int) -> None:
-        """Start taking frames and beating; call once after `authenticate`."""
+        """Start receiving frames and sending heartbeats; call after `authenticate`."""
         loop = asyncio.get_running_loop()
         self.last_received = loop.time()
         self.buffer.limit = 0
@@ -177,14 +179,14 @@
             self.transport.resume_reading()
 
     def spawn(self, coroutine) -> asyncio.Task:
-        """Run a coroutine as long as the link is open."""
+        """Run a coroutine as a task that is cancelled when the link closes."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.task_done)
         return task
 
     def task_done(self, task: asyncio.Task) -> None:
-        """Drop a finished task and log what it raised."""
+        """Remove a finished task and log its exception."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error(
@@ -207,7 +209,7 @@
         return frame_id
 
     def check_writable(self) -> None:
-        """Close the link if its peer does not read.
+        """Check that the link is open; close it if its peer does not read.
 
         Raises
         ------
@@ -229,15 +231,15 @@
         self.bytes_sent += len(data)
 
     def write_buffer_bytes(self) -> int:
-        """Return how much is queued because the peer has not read it."""
+        """Return the number of bytes that wait to be sent."""
         return self.transport.get_write_buffer_size()
 
     async def drain(self) -> None:
-        """Wait until the connection takes more bytes, or is closed."""
+        """Wait until the connection accepts more data or is closed."""
         await self.writable.wait()
 
     def call(self, message: tuple, body: bytes = b"") -> Call:
-        """Send a request whose replies come through the returned call."""
+        """Send a request; return the call that receives its replies."""
         frame_id = self.post(message, body=body)
         call = Call(self, frame_id)
         self.calls[frame_id] = call
@@ -246,12 +248,12 @@
     async def request(
         self, message: tuple, timeout_s: float, body: bytes = b""
     ) -> Frame:
-        """Send a request and wait for its one reply.
+        """Send a request and return its single reply.
 
         Raises
         ------
         WisteriapulleyError
-            The peer answered with a failure.
+            The peer replied with a failure.
         WireError
             The link closed, or no reply came in time.
         """
@@ -264,7 +266,7 @@
         return frame
 
     def receive(self, frame: Frame) -> None:
-        """Route one frame: heartbeat, reply or request."""
+        """Handle one frame: a heartbeat, a reply or a request."""
         if isinstance(frame.message, Heartbeat | Load | KeepAlive):
             self.peer_heartbeat = merge_heartbeat(self.peer_heartbeat, frame.message)
             if self.on_heartbeat is not None:
@@ -279,7 +281,7 @@
             self.spawn(self.serve(frame))
 
     async def serve(self, frame: Frame) -> None:
-        """Handle one request; an error becomes a typed failure."""
+        """Run the handler on one request; reply to errors with a failure."""
         try:
             await self.handler(self, frame)
         except WisteriapulleyError as error:
@@ -290,12 +292,12 @@
             self.fail(frame, WireError(ResultCode.UNEXPECTED_MESSAGE, repr(error)))
 
     def fail(self, frame: Frame, error: WisteriapulleyError) -> None:
-        """Answer `frame` with a failure, if the link still is open.
+        """Reply to `frame` with a failure if the link is still open.
 
-        A frame that went to many links has no id, and takes no answer.
+        A one-way message has no id and takes no reply.
         """
         if frame.id == codec.NO_ID:
-            log.warning("news of %s not taken: %s", self.peer_id, error)
+            log.warning("one-way message of %s not handled: %s", self.peer_id, error)
         elif not self.closed.is_set():
             self.post(
                 Failure(int(error.code), error.message, error.retry_after_ms),
@@ -303,10 +305,11 @@
             )
 
     def run_heartbeat_timer(self, heartbeat_s: float, silence_s: float) -> None:
-        """Send a heartbeat, and again after a pause, unless the peer is silent.
+        """Send a heartbeat if one is due, and set the timer again.
 
-        A timer, not a task: a process has dozens of links, and most of what they do
-        is this.
+        Closes the link if the peer was silent for more than `silence_s`. This is a
+        timer instead of a task because a process has dozens of links, and heartbeats
+        are most of their work.
         """
         loop = asyncio.get_running_loop()
         silent_s = loop.time() - self.last_received
@@ -327,10 +330,10 @@
         )
 
     def heartbeat_delay_s(self, heartbeat_s: float) -> float:
-        """Return for how long no heartbeat is needed, in seconds.
+        """Return how long the next heartbeat can be postponed, in seconds.
 
-        Load: an entry and a sidecar that exchange some frames a second. Any of them
-        is a sign of life, so heartbeats besides only cost processor time.
+        An entry and a sidecar exchange several frames a second, and any frame shows
+        that the sender is alive. Additional heartbeats only cost processor time.
         """
         if (
             not self.skips_redundant_heartbeats
@@ -340,7 +343,7 @@
         return self.last_sent + heartbeat_s - asyncio.get_running_loop().time()
 
     def send_heartbeat(self) -> None:
-        """Send a heartbeat now: what is new of it, or a header alone."""
+        """Send a heartbeat now: only its load, or a header alone, if enough."""
         if self.closed.is_set():
             return
         sent, current = self.sent_heartbeat, self.heartbeat()
@@ -355,7 +358,7 @@
             self.post(current)
 
     def close(self, reason: WireError | None = None) -> None:
-        """Close the link; every call in flight gets `reason`."""
+        """Close the link; every in-flight call receives `reason`."""
         if self.closed.is_set():
             return
         self.reason = reason or WireError(ResultCode.LINK_CLOSED, self.peer_id)
@@ -376,10 +379,10 @@
 
 
 def broadcast(links: Iterable[Link], message: tuple) -> None:
-    """Send news over many links, encoded once; closed links are passed over.
+    """Send a one-way message over many links, skipping closed ones.
 
-    Load: news of one target go to every entry and sidecar of a region. Harm prevented:
-    the same frame encoded once for each of them.
+    Updates of a target go to every entry and sidecar of a region, so the frame is
+    encoded once for all links, not once for each of them.
     """
     data = b""
     for link in links:
@@ -389,7 +392,7 @@
         try:
             link.check_writable()
         except WireError as error:
-            log.info("news not sent: %s", error)
+            log.info("one-way message not sent: %s", error)
             continue
         link.write(data)
 
@@ -397,7 +400,7 @@
 def merge_heartbeat(
     heartbeat: Heartbeat, update: Heartbeat | Load | KeepAlive
 ) -> Heartbeat:
-    """Bring a heartbeat up to date with what came after it."""
+    """Return `heartbeat` with a later heartbeat, load or keep-alive applied."""
     if isinstance(update, Heartbeat):
         return update
     if isinstance(update, Load):
@@ -418,7 +421,7 @@
     Raises
     ------
     WireError
-        Nothing listens there, or the peer is not of this fleet.
+        Nothing listens at the address, or the peer does not hold the fleet key.
     """
     link = Link(handler, heartbeat)
     try:
--- a/src/wisteriapulley/wire/messages.py
+++ b/src/wisteriapulley/wire/messages.py
@@ -1,10 +1,10 @@
-"""Typed messages of the wire; field names match ``messages.capnp``."""
+"""Typed messages that links carry; field names match ``messages.capnp``."""
 
 from typing import NamedTuple
 
 
 class Hello(NamedTuple):
-    """First frame of each side: who it is, and a nonce for the other to sign."""
+    """First frame of each side: its identity, and a nonce for the peer to sign."""
 
     protocol: int = 0
     node_id: str = ""
@@ -15,7 +15,7 @@
 
 
 class Proof(NamedTuple):
-    """HMAC over both nonces that shows the fleet key is held."""
+    """HMAC over both nonces, which proves that the sender holds the fleet key."""
 
     digest: bytes = b""
 
@@ -23,7 +23,8 @@
 class Heartbeat(NamedTuple):
     """Periodic state of the sender: its revisions, and a target's load.
 
-    A control instance says how many entries follow it, and how many there are.
+    A control instance reports in `followers` how many entries follow it, and in
+    `entries` how many there are.
     """
 
     revision: int = 0
@@ -38,7 +39,7 @@
 
 
 class Failure(NamedTuple):
-    """Typed error in place of an answer."""
+    """Typed error in place of a reply."""
 
     code: int = 0
     message: str = ""
@@ -47,7 +48,7 @@
 
 
 class Ack(NamedTuple):
-    """Answer that carries nothing."""
+    """Reply without content."""
 
 
 class Header(NamedTuple):
@@ -58,7 +59,7 @@
 
 
 class Dispatch(NamedTuple):
-    """Request from an entry to a sidecar; its body is the frame's body."""
+    """Request from an entry to a sidecar; the frame's body is the request body."""
 
     request_id: str = ""
     account: str = ""
@@ -80,13 +81,13 @@
 
 
 class Cancel(NamedTuple):
-    """The caller gave up: take the request off the target."""
+    """Cancel a request at the target because the caller has left."""
 
     request_id: str = ""
 
 
 class AnswerHead(NamedTuple):
-    """Status and headers; `length` is -1 when not known."""
+    """Status and headers of an answer; `length` is -1 if unknown."""
 
     request_id: str = ""
     status: int = 0
@@ -96,14 +97,14 @@
 
 
 class AnswerPart(NamedTuple):
-    """Bytes of an answer, in the frame's body, from `offset` on."""
+    """Bytes of an answer from `offset` on, in the frame's body."""
 
     request_id: str = ""
     offset: int = 0
 
 
 class AnswerEnd(NamedTuple):
-    """End mark of an answer: total length and CRC-32 of its bytes."""
+    """End of an answer: total length and CRC-32 of its bytes."""
 
     request_id: str = ""
     length: int = 0
@@ -111,14 +112,14 @@
 
 
 class Credit(NamedTuple):
-    """Receiver of an answer allows `bytes` more in flight."""
+    """Allow `bytes` more bytes of an answer in flight."""
 
     request_id: str = ""
     bytes: int = 0
 
 
 class Resolve(NamedTuple):
-    """Ask what became of an attempt; an unseen one becomes a tombstone."""
+    """Ask for the state of an attempt; an unseen one becomes a tombstone."""
 
     account: str = ""
     idempotency_key: str = ""
@@ -130,13 +131,13 @@
 
 
 class Resolution(NamedTuple):
-    """`running`, `done` or `tombstone`."""
+    """State of an attempt: `running`, `done` or `tombstone`."""
 
     state: str = ""
 
 
 class Announce(NamedTuple):
-    """A member announces itself; `sequence` orders its announcements."""
+    """Announcement of a member; `sequence` orders its announcements."""
 
     node_id: str = ""
     incarnation: int = 0
@@ -150,7 +151,7 @@
 
 
 class MemberUpdate(NamedTuple):
-    """Members that control instance `owner` holds, all or changed ones."""
+    """Members that control instance `owner` records: all of them, or changed ones."""
 
     owner: str = ""
     epoch: int = 0
@@ -166,7 +167,7 @@
 
 
 class CatalogueUpdate(NamedTuple):
-    """Whole catalogue; `fresh` when a quorum confirmed it."""
+    """The complete catalogue; `fresh` if a quorum confirmed it."""
 
     revision: int = 0
     fresh: bool = False
@@ -174,13 +175,13 @@
 
 
 class Propose(NamedTuple):
-    """Command for the replicated log, sent on to the leader."""
+    """Command for the replicated log, forwarded to the leader."""
 
     command: bytes = b""
 
 
 class Proposed(NamedTuple):
-    """Outcome of a committed command."""
+    """Result of a committed command."""
 
     index: int = 0
     term: int = 0
@@ -205,11 +206,11 @@
 
 
 class LeaseQuery(NamedTuple):
-    """Ask for the leader's lease."""
+    """Ask for the leader and its lease."""
 
 
 class Lease(NamedTuple):
-    """Leader, its term and how long its lease still holds."""
+    """The leader, its term and the remaining time of its lease."""
 
     term: int = 0
     leader: str = ""
@@ -224,10 +225,10 @@
 
 
 class Have(NamedTuple):
-    """Bitmap of verified chunks, one bit each, lowest first.
+    """Bitmap of verified chunks, one bit per chunk, lowest bit first.
 
-    With `added`, only these are new and the bitmap is empty. A node that has no
-    manifest of the version yet says 0 `chunks`.
+    If `added` is set, it lists the new chunks and the bitmap is empty. A node without
+    a manifest of the version reports 0 `chunks`.
     """
 
     version: str = ""
@@ -238,7 +239,7 @@
 
 
 class ChunkQuery(NamedTuple):
-    """Ask for a chunk by digest."""
+    """Ask for a chunk by its digest."""
 
     digest: str = ""
     version: str = ""
@@ -254,7 +255,7 @@
 
 
 class ChunkCancel(NamedTuple):
-    """Stop answering the `ChunkQuery` of frame `query`."""
+    """Cancel the `ChunkQuery` with frame id `query`."""
 
     query: int = 0
 
@@ -269,7 +270,7 @@
 
 
 class VoteRequest(NamedTuple):
-    """Ask for a vote, or with `pre_vote` whether one would be given."""
+    """Ask for a vote, or with `pre_vote` whether it would be granted."""
 
     term: int = 0
     candidate: str = ""
@@ -281,7 +282,7 @@
 
 
 class VoteReply(NamedTuple):
-    """Answer to a vote request."""
+    """Reply to a vote request."""
 
     term: int = 0
     voter: str = ""
@@ -291,7 +292,7 @@
 
 
 class AppendRequest(NamedTuple):
-    """Records after `previous_index`; empty as a heartbeat."""
+    """Log records after `previous_index`; without records it is a heartbeat."""
 
     term: int = 0
     leader: str = ""
@@ -303,7 +304,7 @@
 
 
 class AppendReply(NamedTuple):
-    """How far the follower's synced log matches."""
+    """Index up to which the follower's synced log matches."""
 
     term: int = 0
     follower: str = ""
@@ -315,7 +316,7 @@
 
 
 class SnapshotPart(NamedTuple):
-    """Part of a snapshot for a follower far behind."""
+    """Part of a snapshot for a follower that is far behind."""
 
     term: int = 0
     leader: str = ""
@@ -329,7 +330,7 @@
 
 
 class SnapshotReply(NamedTuple):
-    """How much of the snapshot the follower holds."""
+    """Offset up to which the follower holds the snapshot."""
 
     term: int = 0
     follower: str = ""
@@ -340,14 +341,14 @@
 
 
 class TimeoutNow(NamedTuple):
-    """The leader asks a follower to campaign at once."""
+    """Leader's request that a follower starts an election at once."""
 
     term: int = 0
     leader: str = ""
 
 
 class JoinRequest(NamedTuple):
-    """A disk asks the leader to become a learner; its `term` is always 0."""
+    """Request of a disk to join as a learner; its `term` is always 0."""
 
     term: int = 0
     node_id: str = ""
@@ -355,20 +356,20 @@
 
 
 class Load(NamedTuple):
-    """The last heartbeat still holds but for the load."""
+    """Heartbeat in which only the load differs from the previous one."""
 
     running: int = 0
     waiting: int = 0
 
 
 class Follow(NamedTuple):
-    """Ask a control instance for its news; `routing_version` is held already."""
+    """Subscribe to a control instance's updates; `routing_version` is already held."""
 
     routing_version: int = 0
 
 
 class RoutingNews(NamedTuple):
-    """A routing table, as compressed content; `fresh` when a quorum confirmed it."""
+    """A routing table as compressed content; `fresh` if a quorum confirmed it."""
 
     version: int = 0
     fresh: bool = False
@@ -376,16 +377,17 @@
 
 
 class VersionAge(NamedTuple):
-    """A version of weights that was named, and how long ago."""
+    """A desired version of weights, and how long ago it was set."""
 
     version: int = 0
     age_ms: int = 0
 
 
 class ModelState(NamedTuple):
-    """A model service and the newest versions of its weights, newest last.
+    """A model service, the latest desired versions of its weights and its engines.
 
-    What follows are the figures of its engines; see `routing.Engine`.
+    `named` holds the versions, newest last. The fields after it are the parameters of
+    the service's engines; see `routing.Engine`.
     """
 
     service: str = ""
@@ -399,18 +401,18 @@
 
 
 class ModelNews(NamedTuple):
-    """Versions of weights that are in force."""
+    """Desired versions of the weights of all model services."""
 
     models: tuple[ModelState, ...] = ()
 
 
 class TargetState(NamedTuple):
-    """What a target last said of itself.
+    """The last announcement of a target.
 
-    A target may start again under the same `target_id`: `started_ms` is the Unix
-    time of its start, 0 where it does not say, and `sequence` orders the news of
-    one start. `version` is that of its weights, 0 for none; `age_ms` is how long
-    ago it was heard.
+    A target may restart under the same `target_id`: `started_ms` is the Unix time of
+    its start, 0 if not reported, and identifies its incarnation. `sequence` orders
+    the announcements of one incarnation. `version` is that of its weights, 0 for
+    none; `age_ms` is the time since its last announcement.
     """
 
     target_id: str = ""
@@ -428,16 +430,16 @@
 
 
 class TargetNews(NamedTuple):
-    """Targets that were heard of."""
+    """Announcements of targets."""
 
     targets: tuple[TargetState, ...] = ()
 
 
 class TargetBeat(NamedTuple):
-    """That a target was heard again, and by what news it is known.
+    """Heartbeat of a target whose state has not changed.
 
-    `sequence` is that of the news with which anything of the target last changed.
-    Whoever knows older news of it, or none, has missed some.
+    `sequence` is that of the announcement that last changed the target's state. A
+    receiver with an older announcement of it, or with none, has missed an update.
     """
 
     target_id: str = ""
@@ -448,21 +450,22 @@
 
 
 class TargetBeats(NamedTuple):
-    """Targets that were heard again since the last message of this kind."""
+    """Heartbeats of targets since the last message of this kind."""
 
     beats: tuple[TargetBeat, ...] = ()
 
 
 class TargetQuery(NamedTuple):
-    """Ask a control instance for its news of some targets."""
+    """Ask a control instance for the announcements of some targets."""
 
     target_ids: tuple[str, ...] = ()
 
 
 class ControlNews(NamedTuple):
-    """Hosts of all control instances that are known, and where each one is.
+    """Hosts and failure domains of all known control instances.
 
-    `failure_domains` stands beside `hosts`; empty text for one not met yet.
+    `failure_domains` has one item per host; it is empty for a host that has not been
+    reached yet.
     """
 
     hosts: tuple[str, ...] = ()
@@ -470,7 +473,7 @@
 
 
 class ManifestQuery(NamedTuple):
-    """Ask for a manifest; version 0 is the newest that the origin names."""
+    """Ask for a manifest; version 0 is the newest one of the origin."""
 
     model: str = ""
     version: int = 0
@@ -487,7 +490,7 @@
 
 
 class PieceQuery(NamedTuple):
-    """Ask for bytes of a piece of weights; `length` 0 is all of it."""
+    """Ask for bytes of a piece of weights; `length` 0 is the whole piece."""
 
     model: str = ""
     version: int = 0
@@ -497,16 +500,17 @@
 
 
 class Piece(NamedTuple):
-    """Bytes of a piece, in the frame's body; `total` counts the whole piece."""
+    """Bytes of a piece, in the frame's body; `total` is the length of the piece."""
 
     total: int = 0
 
 
 class Reserve(NamedTuple):
-    """Ask a sidecar for a place at its target, for at most `wait_ms` from now.
+    """Ask a sidecar for a slot at its target, and wait at most `wait_ms` for it.
 
-    `target` names one start of it; `late` says that the request's objective has
-    passed already, `is_last` that it can't be sent again if the target turns it away.
+    `target` is the incarnation of the target. `late` is whether the request's
+    objective has already passed, `is_last` whether it can't be retried if the target
+    rejects it.
     """
 
     request_id: str = ""
@@ -520,12 +524,12 @@
 
 
 class Reserved(NamedTuple):
-    """Whether a place was granted, for requests on weights of `version`.
+    """Whether a slot was granted, for requests on weights of `version`.
 
-    Without a place, `retry_ms` says when one is likely; `closed` that the
-    target takes nothing now, whatever its load; `queued` that the request waits
-    and another answer follows; `limited` that the target itself holds
-    requests back: it states a rate, or turned some away.
+    If not, `retry_ms` is the time until one is likely. `closed` is whether the target
+    accepts no requests now, regardless of its load; `queued` whether the request
+    waits and another reply follows; `limited` whether the target itself is
+    throttled, because it advertises a rate or rejected requests.
     """
 
     granted: bool = False
@@ -539,10 +543,11 @@
 
 
 class Release(NamedTuple):
-    """Give a reserved place back.
+    """Release a reserved slot.
 
-    `taken` and `turned_away` say what the target did with the request, where it was
-    sent and that is known; `rests` that the target asked the sender for rest.
+    If the request was sent and its outcome is known, `taken` or `turned_away` tells
+    whether the target accepted or rejected it. `rests` is whether the target
+    requested a cool-down of the sender.
     """
 
     request_id: str = ""
@@ -554,8 +559,8 @@
 class HeldQuery(NamedTuple):
     """Ask a control instance which pieces of a version of weights it holds.
 
-    It answers once it holds more than `known`, or after `wait_ms`, and fetches what it
-    lacks, unless the sender `only_looks`.
+    It replies once it holds more than `known`, or after `wait_ms`. It fetches the
+    missing pieces unless `only_looks` is set.
     """
 
     model: str = ""
@@ -566,9 +571,9 @@
 
 
 class Held(NamedTuple):
-    """Pieces of a version that are held, of `total`; 0 of 0 without a manifest.
+    """Number of held pieces of a version, of `total`; 0 of 0 without a manifest.
 
-    `bitmap` has a bit for each piece, the first one lowest.
+    `bitmap` has one bit per piece, lowest bit first.
     """
 
     pieces: int = 0
@@ -577,11 +582,11 @@
 
 
 class Suspect(NamedTuple):
-    """A request under which targets ended; see `policy.crash_suspects`.
+    """A request during which targets ended; see `policy.crash_suspects`.
 
-    `digest` names the request, `ended` the starts of targets that ended under it
-    since it was `cleared` for the last time; `age_s` is how long ago the last of
-    them ended.
+    `digest` identifies the request, and `cleared` counts how often it was cleared of
+    suspicion. `ended` lists the incarnations of targets that ended while they ran it
+    since it was last cleared; `age_s` is the time since the last of them ended.
     """
 
     digest: bytes = b""
@@ -591,16 +596,16 @@
 
 
 class SuspectNews(NamedTuple):
-    """Requests under which targets ended, or that were cleared of it."""
+    """Requests during which targets ended, or that were cleared of suspicion."""
 
     suspects: tuple[Suspect, ...] = ()
 
 
 class TargetRate(NamedTuple):
-    """What a target said `age_ms` ago of the requests that it takes.
+    """Rate that a target advertised `age_ms` ago.
 
-    `target` names one start of it; `per_s` is in requests a second, 0 where it
-    states no rate any more.
+    `target` is its incarnation; `per_s` is in requests per second, 0 if the target no
+    longer advertises a rate.
     """
 
     target: str = ""
@@ -609,9 +614,9 @@
 
 
 class PassageQuery(NamedTuple):
-    """Ask a control instance whether a request may pass to a target that states a rate.
+    """Ask a control instance for a permit to send a request to a rate-limited target.
 
-    What follows `target` is what the entry knows; see `TargetRate`.
+    The fields after `target` are the rate that the entry last saw; see `TargetRate`.
     """
 
     target: str = ""
@@ -620,9 +625,9 @@
 
 
 class Passage(NamedTuple):
-    """Whether a request may pass; without it, `wait_ms` says when one may.
+    """Whether a rate permit was granted; if not, `wait_ms` is the time to the next one.
 
-    `limited` says whether the target still states a rate, as far as known.
+    `limited` is whether the target still advertises a rate, as far as is known.
     """
 
     granted: bool = False
--- a/src/wisteriapulley/wire/reconnect.py
+++ b/src/wisteriapulley/wire/reconnect.py
@@ -1,4 +1,4 @@
-"""Keeps one link open to one of several addresses."""
+"""Reconnects a link to one of several addresses."""
 
 import asyncio
 import logging
@@ -14,29 +14,30 @@
 
 log = logging.getLogger(__name__)
 
-# Share of the time that a peer has been away after which it is tried again. A process
-# that starts is met within a few hundredths of a second of its first moment, since
-# whoever waits for it serves nobody; a peer that stays away is tried once a second.
+# The delay before the next attempt is this fraction of the time for which the peer has
+# been unreachable. A peer that has just started is reached within a few hundredths of
+# a second, since processes that wait for it serve no requests. A peer that stays
+# unreachable is tried once a second.
 DELAY_FRACTION = 0.125
 MIN_DELAY_S = 0.05
 MAX_DELAY_S = 1.0
 
 
 class ReconnectingLink:
-    """Connects, waits for the link to close, and connects again.
+    """A link that is opened again whenever it closes.
 
     Parameters
     ----------
     addresses : sequence of Address
-        Tried in turn; the next one follows a failure.
+        Addresses to connect to, tried in turn.
     identity : Identity
-        Who this process is.
+        Identity of this process.
     handler : callable
-        Awaited with each frame that is no reply.
+        Awaited with each frame that is not a reply.
     heartbeat : callable
-        Makes the heartbeat to send.
+        Returns the heartbeat to send.
     settings : NodeSettings
-        For the heartbeat and silence times.
+        Settings with the heartbeat interval and the maximum silence.
     on_open : callable, optional
         Awaited with each new link.
     """
@@ -68,11 +69,11 @@
         return self.link
 
     def start(self) -> None:
-        """Begin keeping the link."""
+        """Start connecting."""
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     async def run(self) -> None:
-        """Connect for ever."""
+        """Connect again whenever the link closes, until cancelled."""
         position = 0
         connected_s = steady_s()
         while True:
@@ -105,7 +106,7 @@
             self.link.close()
 
     async def stop(self) -> None:
-        """Stop keeping, and close the link."""
+        """Stop connecting, and close the link."""
         if self.task is not None:
             self.task.cancel()
         if self.link is not None:
@@ -113,18 +114,18 @@
 
 
 def reconnect_delay_s(unreachable_s: float, jitter: float) -> float:
-    """Return how long to wait before a peer is tried again.
+    """Return the delay before the next attempt to connect to a peer, in seconds.
 
-    Load: all processes start again after a loss of power, and those that others
-    wait for start last. Harm prevented: a pause that doubles from the first try
-    has grown to most of a second by then.
+    After a power outage all processes restart, and those that others wait for start
+    last. A delay that doubles from the first attempt on would have grown to most of
+    a second by then.
 
     Parameters
     ----------
-    away_s : float
-        Seconds since it was last linked, or first tried.
-    spread : float
-        Random number below 1: keeps the tries of many processes apart.
+    unreachable_s : float
+        Seconds since the last link to the peer closed, or since the first attempt.
+    jitter : float
+        Random number from 0 to below 1, which spreads the attempts of many processes.
     """
     mean_s = min(MAX_DELAY_S, max(MIN_DELAY_S, unreachable_s * DELAY_FRACTION))
     return mean_s * (0.5 + jitter)
--- a/src/wisteriapulley/wire/server.py
+++ b/src/wisteriapulley/wire/server.py
@@ -1,4 +1,4 @@
-"""Accepts links at one address."""
+"""Server that accepts links at one address."""
 
 import asyncio
 import logging
@@ -13,8 +13,8 @@
 
 log = logging.getLogger(__name__)
 
-# Connections that have not yet proved the key; more are closed at once, so that
-# whoever opens sockets and says nothing takes no more memory than this.
+# Limit of connections whose handshake is not complete. Further ones are closed at once,
+# so that clients that open sockets and send nothing can't exhaust memory.
 MAX_PENDING_HANDSHAKES = 128
 
 
@@ -24,13 +24,13 @@
     Parameters
     ----------
     identity : Identity
-        Who this process is.
+        Identity of this process.
     handler : callable
-        Awaited with each frame that is no reply.
+        Awaited with each frame that is not a reply.
     heartbeat : callable
-        Makes the heartbeat to send.
+        Returns the heartbeat to send.
     heartbeat_ms, silence_ms : int
-        Milliseconds between heartbeats, and of silence before closing.
+        Milliseconds between heartbeats, and of silence before a link is closed.
     """
 
     def __init__(
@@ -54,12 +54,12 @@
         self.on_close: Callable[[Link], None] | None = None
 
     async def start(self, address: Address) -> Address:
-        """Listen; return the address with its real port.
+        """Start listening; return the address with the port that was bound.
 
         Raises
         ------
         SettingsError
-            ADDRESS_CLASH: the address is taken or not of this instance.
+            ADDRESS_CLASH: the address is in use or not local.
         """
         try:
             self.server = await asyncio.get_running_loop().create_server(
@@ -73,19 +73,19 @@
         return Address(address.host, port)
 
     def new_link(self) -> Link:
-        """Make the link of one connection."""
+        """Return the link for a new connection."""
         link = Link(self.handler, self.heartbeat)
         link.on_connect = self.start_accept
         return link
 
     def start_accept(self, link: Link) -> None:
-        """Authenticate a new connection beside the others."""
+        """Start a task that authenticates a new connection."""
         task = asyncio.get_running_loop().create_task(self.accept(link))
         self.accept_tasks.add(task)
         task.add_done_callback(self.accept_tasks.discard)
 
     async def accept(self, link: Link) -> None:
-        """Authenticate one connection and keep its link."""
+        """Authenticate a connection and add its link."""
         self.handshakes += 1
         try:
             if self.handshakes > MAX_PENDING_HANDSHAKES:
@@ -94,7 +94,7 @@
                 )
             await link.authenticate(self.identity, opener=False)
         except WireError as error:
-            log.warning("link refused: %s", error, extra=fields(code=error.code))
+            log.warning("link rejected: %s", error, extra=fields(code=error.code))
             link.close(error)
             return
         finally:
@@ -106,13 +106,13 @@
         link.start(self.heartbeat_ms, self.silence_ms)
 
     def remove_link(self, link: Link) -> None:
-        """Drop a closed link."""
+        """Remove a closed link."""
         self.links.discard(link)
         if self.on_close is not None:
             self.on_close(link)
 
     def send_heartbeats(self) -> None:
-        """Send a heartbeat on every link now."""
+        """Send a heartbeat over every link now."""
         for link in tuple(self.links):
             link.send_heartbeat()
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file builds and starts from a clean checkout, without the users' kit."""
+"""Build and start by the deploy file in a clean checkout, without the users' kit."""
 
 import math
 import os
@@ -12,7 +12,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
-BUILD_S = 600
+BUILD_TIMEOUT_S = 600
 
 
 @pytest.fixture(scope="module")
@@ -23,18 +23,20 @@
         ignored = shutil.ignore_patterns("__pycache__")
         shutil.copytree(ROOT / name, folder / name, ignore=ignored)
     shutil.copy(ROOT / "requirements.txt", folder)
-    subprocess.run(DEPLOY["build"], shell=True, cwd=folder, check=True, timeout=BUILD_S)
+    subprocess.run(
+        DEPLOY["build"], shell=True, cwd=folder, check=True, timeout=BUILD_TIMEOUT_S
+    )
     return folder
 
 
 def run_code(checkout, code):
-    """Run some lines as a daemon's start would, in a built checkout."""
+    """Run code in a built checkout, in the environment of a daemon's start."""
     subprocess.run(
         [sys.executable, "-S", "-c", code],
         cwd=checkout,
         env={"PATH": os.environ["PATH"], "PYTHONPATH": "target/deps"},
         check=True,
-        timeout=BUILD_S,
+        timeout=BUILD_TIMEOUT_S,
     )
 
 
@@ -57,7 +59,7 @@
     def test_every_instance_with_a_disk_is_a_control_instance(
         self, instances, with_disk
     ):
-        """With one in each failure domain, a loss of two left no majority."""
+        """With one per failure domain, a failure of two leaves no majority."""
         share = DEPLOY["roles"]["control"]["share"]
         assert math.ceil(share * instances) == with_disk
 
@@ -74,12 +76,12 @@
                 },
                 capture_output=True,
                 text=True,
-                timeout=BUILD_S,
+                timeout=BUILD_TIMEOUT_S,
             )
             assert (done.returncode, done.stderr[:5]) == (1, "WP100")
 
-    def test_stop_during_the_imports_is_a_clean_end(self, tmp_path):
-        """Guards soak seed 1924131696: it ended with -15."""
+    def test_stop_during_the_imports_exits_cleanly(self, tmp_path):
+        """Soak seed 1924131696: a process that was stopped then exited with -15."""
         shutil.copytree(ROOT / "deploy", tmp_path / "deploy")
         slow = tmp_path / "target" / "app" / "wisteriapulley"
         slow.mkdir(parents=True)
@@ -93,11 +95,11 @@
         )
         assert process.stdout.readline() == b"importing\n"
         process.terminate()
-        assert process.wait(BUILD_S) == 0
+        assert process.wait(BUILD_TIMEOUT_S) == 0
         process.stdout.close()
 
-    def test_start_imports_nothing_that_no_daemon_uses(self, checkout):
-        """A start reads no certificates of authorities and no coloured logs."""
+    def test_start_skips_what_no_daemon_uses(self, checkout):
+        """A start reads no certificates of authorities and imports no coloured logs."""
         code = (
             "import runpy, sys, ssl\n"
             "run = runpy.run_path('deploy/run.py')\n"
@@ -110,8 +112,8 @@
         )
         run_code(checkout, code)
 
-    def test_entry_that_waits_for_its_turn_has_imported_little(self, checkout):
-        """It shares its processor with the control instance that all wait for."""
+    def test_entry_that_waits_for_control_has_imported_little(self, checkout):
+        """It shares the processor with the control instance that others wait for."""
         code = (
             "import sys\n"
             "sys.path.insert(0, 'target/app')\n"
@@ -123,6 +125,10 @@
     def test_second_build_installs_nothing(self, checkout):
         stamp = (checkout / "target" / "deps").stat().st_mtime_ns
         subprocess.run(
-            DEPLOY["build"], shell=True, cwd=checkout, check=True, timeout=BUILD_S
+            DEPLOY["build"],
+            shell=True,
+            cwd=checkout,
+            check=True,
+            timeout=BUILD_TIMEOUT_S,
         )
         assert (checkout / "target" / "deps").stat().st_mtime_ns == stamp
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""Callers' connections while an entry leaves."""
+"""Callers' connections while an entry drains."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class CountingHandler:
-    """Serves every request with a short answer, and counts them."""
+    """Responds to every request with a short body, and counts the requests."""
 
     def __init__(self):
         self.count = 0
@@ -51,9 +51,10 @@
 
         run_scenario(scenario)
 
-    def test_request_that_was_just_read_gets_its_answer(self):
-        # The request is parsed, but its handler has not begun, when the entry
-        # closes what looks idle: it was passed on and its answer was lost.
+    def test_request_that_was_just_read_gets_its_response(self):
+        # The request is parsed but its handler has not started when the entry closes
+        # connections that look idle. If that closes its connection, the request is
+        # forwarded and its response is lost.
         async def scenario(ingress, served, reader, writer):
             (connection,) = ingress.server.connections
             while connection._waiter is None:
@@ -68,7 +69,7 @@
 
         run_scenario(scenario)
 
-    def test_request_on_a_closed_connection_is_not_passed_on(self):
+    def test_request_on_a_closed_connection_is_not_forwarded(self):
         async def scenario(ingress, served, reader, writer):
             (connection,) = ingress.server.connections
             while connection._waiter is None:
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform's formats: control, entry and sidecar on loopback."""
+"""End-to-end tests with the platform's formats: control, entry, sidecar on loopback."""
 
 import asyncio
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 def settings_file(folder, host, base, **more):
-    """Write a settings file in the platform's format; `seed` is the host itself."""
+    """Write a settings file in the platform's format; `seed` defaults to the host."""
     seed = more.get("seed", host)
     text = f"""
 node-name = "node-{host}"
@@ -118,7 +118,7 @@
             await asyncio.sleep(0.2)
 
     async def until(self, check):
-        """Wait for a condition, however long a busy machine takes."""
+        """Wait for a condition, with a time limit that suits a busy machine."""
         async with asyncio.timeout(MAX_WAIT_S):
             while not await check():
                 await asyncio.sleep(0.02)
@@ -146,7 +146,7 @@
             return answer.status, await answer.read(), answer.headers
 
     async def wait_confirmed(self):
-        """Wait until a quorum confirmed the entry's table: before, 404 is not said."""
+        """Wait until a quorum confirmed the entry's table; before, it sends no 404."""
 
         async def check():
             return self.entry.is_ready()
@@ -179,8 +179,8 @@
     asyncio.run(run())
 
 
-class TestWholePath:
-    def test_stream_is_passed_on_unchanged(self, tmp_path):
+class TestRequests:
+    def test_stream_is_forwarded_unchanged(self, tmp_path):
         async def scenario(path):
             status, body, headers = await path.ask(**{"X-Tenant": "forged"})
             assert (status, body) == (200, EVENTS)
@@ -200,7 +200,7 @@
             assert (await path.ask("/none/"))[0] == 404
             assert (await path.ask(key="wrong"))[0] == 401
             path.engine.target_id = "i-2"
-            # Another instance at the address: refused as not run.
+            # Another instance at the address rejects the request without running it.
             status, _, headers = await path.ask()
             assert status == 503
             assert float(headers["Retry-After"]) > 0
@@ -208,17 +208,17 @@
 
         run_scenario(tmp_path, scenario)
 
-    def test_broken_stream_goes_on_at_the_next_event(self, tmp_path):
+    def test_broken_stream_of_the_only_target_is_cut(self, tmp_path):
         async def scenario(path):
             path.engine.break_after = 4
-            # The only target is not tried twice, so the answer is cut there.
+            # A request is not sent to the same target twice, so the answer is cut.
             with pytest.raises(aiohttp.ClientError):
                 await path.ask()
             assert len(path.engine.runs) == 1
 
         run_scenario(tmp_path, scenario)
 
-    def test_leaving_target_gets_no_more(self, tmp_path):
+    def test_leaving_target_receives_no_more_requests(self, tmp_path):
         async def scenario(path):
             path.heartbeat_task.cancel()
             assert await path.send_heartbeat("draining") == 200
@@ -234,7 +234,7 @@
 
         run_scenario(tmp_path, scenario)
 
-    def test_configuration_is_read_back_as_sent(self, tmp_path):
+    def test_configuration_is_read_back_unchanged(self, tmp_path):
         async def scenario(path):
             newer = configuration(9, path.origin, extra="kept")
             await path.post_until_accepted(names.REPLACE_CALL, newer)
@@ -246,7 +246,7 @@
 
         run_scenario(tmp_path, scenario)
 
-    def test_dropped_route_is_not_served_any_more(self, tmp_path):
+    def test_removed_route_is_no_longer_served(self, tmp_path):
         async def scenario(path):
             await path.post_until_accepted(
                 names.REPLACE_CALL, configuration(9, path.origin, routes=[])
@@ -261,7 +261,7 @@
 
 
 class TestWeights:
-    def test_newer_version_is_copied_verified_and_loaded(self, tmp_path):
+    def test_newer_version_is_downloaded_verified_and_loaded(self, tmp_path):
         async def scenario(path):
             path.origin.newest = 2
             path.origin.spoil = {1, 4}
@@ -278,12 +278,12 @@
             status, body, _ = await path.ask()
             assert (status, body) == (200, EVENTS)
             assert path.engine.runs[-1][3]["X-Expect-Version"] == "2"
-            # Each piece was drawn once, and again where it came spoilt.
+            # Each piece was fetched once, and again if it arrived corrupted.
             assert path.origin.sent <= path.origin.chunks + 2
 
         run_scenario(tmp_path, scenario)
 
-    def test_engine_that_lost_its_weights_gets_them_back(self, tmp_path):
+    def test_engine_that_lost_its_weights_loads_them_again(self, tmp_path):
         async def scenario(path):
             path.engine.version = 0
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -26,12 +26,12 @@
         assert (len(payload), len(frame.body)) == (message_bytes, body_bytes)
         return codec.decode(payload, frame.body)
 
-    def test_every_message_survives(self):
+    def test_every_message_round_trips(self):
         for kind in codec.FRAME_MESSAGES.values():
             frame = Frame(3, 4, kind(), b"body")
             assert self.roundtrip(frame) == frame
 
-    def test_every_plain_field_survives(self):
+    def test_every_plain_field_round_trips(self):
         values = {int: 7, str: "é", bytes: b"\x00\xff", bool: True}
         for kind in codec.FRAME_MESSAGES.values():
             hints = typing.get_type_hints(kind)
@@ -41,7 +41,7 @@
             assert self.roundtrip(Frame(1, 2, message)).message == message
 
     def test_load_is_encoded_and_decoded_once(self):
-        """Loads are most of what entries take in, and are few different ones."""
+        """Loads are most of the frames that entries receive, and few of them differ."""
         load = messages.Load(11, 3)
         data = codec.encode_load(load)
         payload = data[codec.HEADER.size :]
@@ -49,7 +49,7 @@
         assert codec.decode(payload) == Frame(codec.NO_ID, 0, load)
         assert codec.decode(bytes(payload)) is codec.decode(payload)
 
-    def test_short_frames_are_not_taken_for_each_other(self):
+    def test_short_frames_are_not_confused_by_the_cache(self):
         frames = [Frame(n, 0, messages.Load(n, 9 - n)) for n in range(9)]
         assert [self.roundtrip(frame) for frame in frames] == frames
 
@@ -59,12 +59,12 @@
         assert self.roundtrip(Frame(1, 0, message)).message == message
 
     @pytest.mark.parametrize("payload", [b"", b"\x00" * 8, b"\xff" * 64, b"abc"])
-    def test_garbage_is_a_coded_error(self, payload):
+    def test_invalid_payload_raises_wire_error(self, payload):
         with pytest.raises(WireError) as caught:
             codec.decode(payload)
         assert caught.value.code == ResultCode.FRAME_MALFORMED
 
-    def test_too_long(self):
+    def test_length_over_the_limit_raises_wire_error(self):
         header = codec.HEADER.pack(codec.MAGIC, 1 << 31, 0)
         with pytest.raises(WireError) as caught:
             codec.parse_header(header)
@@ -114,7 +114,7 @@
         assert caught.value.code == ResultCode.AUTHENTICATION_FAILED
 
     def run_scenario(self, scenario):
-        """Play a scenario on a link that has just been opened."""
+        """Run a scenario on a link that has just been opened."""
 
         async def run():
             server, link = await self.pair(None)
@@ -126,13 +126,13 @@
         asyncio.run(run())
 
     def heartbeat_bytes(self, link, sent_s_ago):
-        """Return the bytes of a regular heartbeat, long or short after a frame."""
+        """Run the heartbeat timer `sent_s_ago` after a frame; return the bytes sent."""
         link.last_sent = asyncio.get_running_loop().time() - sent_s_ago
         before = link.bytes_sent
         link.run_heartbeat_timer(3600.0, 3600.0)
         return link.bytes_sent - before
 
-    def test_sparing_link_beats_only_when_it_is_quiet_or_has_news(self):
+    def test_redundant_heartbeat_is_skipped_unless_idle_or_changed(self):
         async def scenario(link):
             link.skips_redundant_heartbeats = True
             assert self.heartbeat_bytes(link, sent_s_ago=1800.0) == 0
@@ -142,8 +142,8 @@
 
         self.run_scenario(scenario)
 
-    def test_next_beat_of_a_sparing_link_follows_its_last_frame(self):
-        """However busy it is, it is never silent for longer than an interval."""
+    def test_postponed_heartbeat_is_due_one_interval_after_the_last_frame(self):
+        """The link must never be silent for longer than one interval."""
 
         async def scenario(link):
             link.skips_redundant_heartbeats = True
@@ -153,54 +153,56 @@
 
         self.run_scenario(scenario)
 
-    def test_other_links_beat_however_busy_they_are(self):
-        """Followers ask again for what they lack at each heartbeat."""
+    def test_other_links_send_every_heartbeat_regardless_of_traffic(self):
+        """Followers request what they lack again at each heartbeat."""
 
         async def scenario(link):
             assert self.heartbeat_bytes(link, sent_s_ago=0.0) == codec.HEADER.size
 
         self.run_scenario(scenario)
 
-    def test_heartbeats_tell_only_what_is_new(self):
+    def test_heartbeats_carry_only_what_changed(self):
         async def run():
             server, link = await self.pair(None)
             state = messages.Heartbeat(3, state="open")
             link.heartbeat = lambda: state
-            heard = asyncio.Queue()
+            received = asyncio.Queue()
             while not server.links:
                 await asyncio.sleep(0)
-            (theirs,) = server.links
-            theirs.on_heartbeat = lambda link: heard.put_nowait(link.peer_heartbeat)
+            (server_link,) = server.links
+            server_link.on_heartbeat = lambda link: received.put_nowait(
+                link.peer_heartbeat
+            )
             for _ in range(3):
                 before = link.bytes_sent
                 link.send_heartbeat()
-                assert await heard.get() == state
+                assert await received.get() == state
             assert link.bytes_sent - before == codec.HEADER.size
             before, state = link.bytes_sent, state._replace(running=7, waiting=2)
             link.send_heartbeat()
-            # The link's own first beat may still be on its way before this one.
-            while await heard.get() != state:
+            # The first heartbeat of the link itself may still arrive before this one.
+            while await received.get() != state:
                 pass
             assert link.bytes_sent - before < len(codec.encode(Frame(1, 0, state)))
             await server.stop()
 
         asyncio.run(run())
 
-    def test_silent_peer_is_dropped_and_its_calls_end(self):
+    def test_link_to_silent_peer_is_closed_and_its_calls_fail(self):
         async def run():
-            def mute():
-                # A peer that proves the key, then never sends again.
-                theirs = Link(None, messages.Heartbeat)
-                theirs.on_connect = lambda link: proofs.append(
+            def accept_silently():
+                # A peer that completes the handshake, then sends nothing more.
+                silent_link = Link(None, messages.Heartbeat)
+                silent_link.on_connect = lambda link: proofs.append(
                     asyncio.ensure_future(
-                        link.authenticate(identity("mute"), opener=False)
+                        link.authenticate(identity("silent"), opener=False)
                     )
                 )
-                return theirs
+                return silent_link
 
             proofs = []
             loop = asyncio.get_running_loop()
-            server = await loop.create_server(mute, "127.0.0.1", 0)
+            server = await loop.create_server(accept_silently, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
             link = await connect(
                 Address("127.0.0.1", port),
@@ -220,7 +222,7 @@
 
 class TestHandshake:
     async def exchange(self, data):
-        """Send bytes to a server; return all that it answers."""
+        """Send bytes to a server; return everything that it sends back."""
         server = LinkServer(
             identity("server"), None, messages.Heartbeat, HOUR_MS, HOUR_MS
         )
@@ -237,17 +239,17 @@
         return answer
 
     def recorded_handshake(self):
-        """Return what an honest opener once sent."""
-        mine = identity("client").hello()
-        theirs = identity("server").hello()
-        proof = sign(KEY, mine, theirs, opener=True)
-        frames = (Frame(1, 0, mine), Frame(2, 0, proof))
+        """Return the bytes that an opener sent in an earlier, valid handshake."""
+        own = identity("client").hello()
+        peer = identity("server").hello()
+        proof = sign(KEY, own, peer, opener=True)
+        frames = (Frame(1, 0, own), Frame(2, 0, proof))
         return b"".join(codec.encode(frame) for frame in frames)
 
     def test_replayed_handshake_is_refused(self):
         asyncio.run(self.exchange(self.recorded_handshake()))
 
-    def test_own_proof_sent_back_is_refused(self):
+    def test_reflected_proof_is_refused(self):
         hello = identity("server").hello()
         other = identity("client").hello()
         proof = sign(KEY, hello, other, opener=True)
@@ -263,12 +265,12 @@
             codec.HEADER.pack(codec.MAGIC, 8, 0) + b"\xff" * 8,
         ],
     )
-    def test_garbage_before_the_proof_is_closed_at_once(self, data):
+    def test_invalid_data_before_the_proof_closes_the_connection(self, data):
         asyncio.run(self.exchange(data))
 
 
 class TestFrameBuffer:
-    def test_frames_survive_any_split(self):
+    def test_frames_are_restored_from_any_split(self):
         frames = [
             Frame(1, 0, messages.HaveQuery("v")),
             Frame(2, 1, messages.Chunk("d"), b"x" * 1000),
