--- a/src/wisteriapulley/platform/engine.py
+++ b/src/wisteriapulley/platform/engine.py
@@ -155,7 +155,7 @@
 
 
 def decode_report(wire: WireReport) -> EngineReport:
-    """Decode a report; without loaded layers no model counts as held."""
+    """Decode a report; an empty range of layers means that no model is held."""
     versions = {model.name: model.version for model in wire.models}
     if wire.layers is not None and wire.layers.end <= wire.layers.first:
         versions = {}
--- a/src/wisteriapulley/platform/names.py
+++ b/src/wisteriapulley/platform/names.py
@@ -29,7 +29,7 @@
 MISDIRECTED_STATUS = 421
 UNAVAILABLE_STATUS = 503
 
-# Hop-by-hop headers: never forwarded.
+# Hop-by-hop headers and others that apply to one connection: never forwarded.
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
--- a/src/wisteriapulley/wire/link.py
+++ b/src/wisteriapulley/wire/link.py
@@ -297,7 +297,7 @@
         A one-way message has no id and takes no reply.
         """
         if frame.id == codec.NO_ID:
-            log.warning("one-way message of %s not handled: %s", self.peer_id, error)
+            log.warning("one-way message from %s not handled: %s", self.peer_id, error)
         elif not self.closed.is_set():
             self.post(
                 Failure(int(error.code), error.message, error.retry_after_ms),
@@ -343,7 +343,7 @@
         return self.last_sent + heartbeat_s - asyncio.get_running_loop().time()
 
     def send_heartbeat(self) -> None:
-        """Send a heartbeat now: only its load, or a header alone, if enough."""
+        """Send a heartbeat now, as a load or a bare header where that suffices."""
         if self.closed.is_set():
             return
         sent, current = self.sent_heartbeat, self.heartbeat()
