--- a/src/wisteriapulley/platform/daemons.py
+++ b/src/wisteriapulley/platform/daemons.py
@@ -47,7 +47,7 @@
             await super().stop(exception)
             await self.client.close()
 
-    return PlatformControl.from_settings(settings.control(key_file))
+    return PlatformControl.from_settings(settings.control_settings(key_file))
 
 
 def new_entry(settings: PlatformSettings, key_file: str) -> "aiomisc.Service":
@@ -75,7 +75,9 @@
             await http.close()
 
     http = HttpClient()
-    return PlatformEntry(settings.direct(key_file), HttpTargetClient(http), Ingress)
+    return PlatformEntry(
+        settings.entry_settings(key_file), HttpTargetClient(http), Ingress
+    )
 
 
 def new_sidecar(settings: PlatformSettings, key_file: str) -> "aiomisc.Service":
@@ -84,7 +86,7 @@
     from wisteriapulley.platform.http import HttpClient
     from wisteriapulley.rollout.service import RolloutService
 
-    sidecar_settings = settings.rollout(key_file)
+    sidecar_settings = settings.sidecar_settings(key_file)
     return RolloutService(
         sidecar_settings, HttpEngine(HttpClient(), sidecar_settings.target)
     )
--- a/src/wisteriapulley/platform/engine.py
+++ b/src/wisteriapulley/platform/engine.py
@@ -93,7 +93,7 @@
         """
         loop = asyncio.get_running_loop()
         if self.cooldown.wait_s(loop.time()):
-            raise unavailable(path, "in the cool-down that it requested")
+            raise engine_error(path, "in the cool-down that it requested")
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with self.http.pooled.request(
@@ -103,17 +103,17 @@
                 self.cooldown.observe(signals.cooldown, loop.time())
                 return response.status, await response.read(), signals
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-            raise unavailable(path, repr(error)) from error
+            raise engine_error(path, repr(error)) from error
 
     async def report(self) -> EngineReport:
         """Return the engine's state."""
         status, body, signals = await self.call_with_signals("GET", names.REPORT_CALL)
         if status != HTTP_OK:
-            raise unavailable(names.REPORT_CALL, f"status {status}")
+            raise engine_error(names.REPORT_CALL, f"status {status}")
         try:
             wire = msgspec.json.decode(body, type=WireReport)
         except msgspec.DecodeError as error:
-            raise unavailable(names.REPORT_CALL, str(error)) from error
+            raise engine_error(names.REPORT_CALL, str(error)) from error
         return decode_report(wire)._replace(leaving=signals.leaving)
 
     async def staged(self, model: str) -> set[int]:
@@ -125,7 +125,7 @@
         try:
             return set(msgspec.json.decode(body, type=WireHeld).held)
         except msgspec.DecodeError as error:
-            raise unavailable(path, str(error)) from error
+            raise engine_error(path, str(error)) from error
 
     async def staged_piece(self, model: str, position: int) -> bytes | None:
         """Return a staged piece; None if it is not staged."""
@@ -138,7 +138,7 @@
         path = names.STAGE_CALL.format(model=model)
         status, _ = await self.call("PUT", f"{path}?quantity={position}", data=data)
         if status >= 300:
-            raise unavailable(path, f"status {status}")
+            raise engine_error(path, f"status {status}")
 
     async def load(self, model: str, version: int) -> OrderOutcome:
         """Order the engine to load the staged pieces."""
@@ -162,6 +162,6 @@
     return EngineReport(versions, wire.busy, wire.running, wire.waiting, wire.born)
 
 
-def unavailable(path: str, reason: str) -> WeightsError:
+def engine_error(path: str, reason: str) -> WeightsError:
     """Return the error for an engine that fails or sends an unexpected response."""
     return WeightsError(ResultCode.SOURCE_UNAVAILABLE, f"engine {path}: {reason}")
--- a/src/wisteriapulley/platform/ingress.py
+++ b/src/wisteriapulley/platform/ingress.py
@@ -189,11 +189,11 @@
         """
         self.closing = True
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + max_s
+        deadline_s = loop.time() + max_s
         await asyncio.sleep(accept_s)
         await self.site.stop()
         close_idle(self.server, self.active)
-        while self.active and loop.time() < until_s:
+        while self.active and loop.time() < deadline_s:
             await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
--- a/src/wisteriapulley/platform/origin.py
+++ b/src/wisteriapulley/platform/origin.py
@@ -48,9 +48,9 @@
             ) as answer:
                 body = await answer.read()
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-            raise unavailable(path, repr(error)) from error
+            raise origin_error(path, repr(error)) from error
         if answer.status != HTTP_OK:
-            raise unavailable(path, f"status {answer.status}")
+            raise origin_error(path, f"status {answer.status}")
         return body
 
     async def manifest(self, model: str, version: int) -> PieceManifest:
@@ -63,7 +63,7 @@
             wire = msgspec.json.decode(body, type=WireManifest)
             digests = tuple(map(bytes.fromhex, wire.digests))
         except (msgspec.DecodeError, ValueError) as error:
-            raise unavailable(path, str(error)) from error
+            raise origin_error(path, str(error)) from error
         return PieceManifest(
             wire.model, wire.version, wire.chunk_bytes, wire.layers, digests
         )
@@ -75,6 +75,6 @@
         return await self.get(path, PIECE_TIMEOUT_S)
 
 
-def unavailable(path: str, reason: str) -> WeightsError:
+def origin_error(path: str, reason: str) -> WeightsError:
     """Return the error for an origin that fails or sends an unexpected response."""
     return WeightsError(ResultCode.SOURCE_UNAVAILABLE, f"origin {path}: {reason}")
--- a/src/wisteriapulley/platform/settings.py
+++ b/src/wisteriapulley/platform/settings.py
@@ -129,7 +129,7 @@
         hosts = (seed.rpartition(":")[0] for seed in self.seed_nodes)
         return tuple(Address(host, port) for host in hosts)
 
-    def common(self, http_port: int, key_file: str) -> dict[str, object]:
+    def common_settings(self, http_port: int, key_file: str) -> dict[str, object]:
         """Return the settings that all daemons share."""
         return {
             "failure_domain": self.zone,
@@ -141,7 +141,7 @@
             "failure_domain_regions": self.zones,
         }
 
-    def control(self, key_file: str) -> ControlSettings:
+    def control_settings(self, key_file: str) -> ControlSettings:
         """Return the settings of a control instance; its node id is its IP address."""
         return ControlSettings(
             node_id=self.ip_address,
@@ -155,10 +155,10 @@
             found_with_seeds=self.bootstrap,
             voters=2 * self.fault_tolerance.machines + 1,
             target_lease_ms=TARGET_LEASE_HEARTBEATS * self.heartbeat_interval_ms,
-            **self.common(CONTROL_HTTP_PORT, key_file),
+            **self.common_settings(CONTROL_HTTP_PORT, key_file),
         )
 
-    def direct(self, key_file: str) -> DirectSettings:
+    def entry_settings(self, key_file: str) -> DirectSettings:
         """Return the settings of an entry."""
         bounds = self.bounds
         return DirectSettings(
@@ -171,10 +171,10 @@
             retry_ratio=bounds.retry_budget_ratio,
             retry_slack=bounds.retry_budget_slack,
             retry_window_s=bounds.budget_window_s,
-            **self.common(ENTRY_HTTP_PORT, key_file),
+            **self.common_settings(ENTRY_HTTP_PORT, key_file),
         )
 
-    def rollout(self, key_file: str) -> RolloutSettings:
+    def sidecar_settings(self, key_file: str) -> RolloutSettings:
         """Return the settings of a sidecar."""
         return RolloutSettings(
             node_id=f"sidecar-{self.node_name}",
@@ -184,5 +184,5 @@
             service=self.service,
             link_mbps=self.limits.link_mbps,
             old_version_ms=self.bounds.version_ms,
-            **self.common(SIDECAR_HTTP_PORT, key_file),
+            **self.common_settings(SIDECAR_HTTP_PORT, key_file),
         )
--- a/src/wisteriapulley/wire/framing.py
+++ b/src/wisteriapulley/wire/framing.py
@@ -79,12 +79,12 @@
         if len(first) > count:
             self.segments[0] = first[count:]
             return first[:count]
-        taken = []
+        popped = []
         while count:
             segment = self.segments.popleft()
             if len(segment) > count:
                 self.segments.appendleft(segment[count:])
                 segment = segment[:count]
-            taken.append(segment)
+            popped.append(segment)
             count -= len(segment)
-        return taken[0] if len(taken) == 1 else b"".join(taken)
+        return popped[0] if len(popped) == 1 else b"".join(popped)
--- a/src/wisteriapulley/wire/server.py
+++ b/src/wisteriapulley/wire/server.py
@@ -47,7 +47,7 @@
         self.heartbeat_ms = heartbeat_ms
         self.silence_ms = silence_ms
         self.links: set[Link] = set()
-        self.handshakes = 0
+        self.pending_handshakes = 0
         self.accept_tasks: set[asyncio.Task] = set()
         self.server: asyncio.Server | None = None
         self.on_open: Callable[[Link], None] | None = None
@@ -86,9 +86,9 @@
 
     async def accept(self, link: Link) -> None:
         """Authenticate a connection and add its link."""
-        self.handshakes += 1
+        self.pending_handshakes += 1
         try:
-            if self.handshakes > MAX_PENDING_HANDSHAKES:
+            if self.pending_handshakes > MAX_PENDING_HANDSHAKES:
                 raise WireError(
                     ResultCode.AUTHENTICATION_FAILED, "too many handshakes at once"
                 )
@@ -98,7 +98,7 @@
             link.close(error)
             return
         finally:
-            self.handshakes -= 1
+            self.pending_handshakes -= 1
         link.on_close = self.remove_link
         self.links.add(link)
         if self.on_open is not None:
