--- a/bench/control_watcher.py
+++ b/bench/control_watcher.py
@@ -48,11 +48,11 @@
 
     def heartbeat(self) -> messages.Heartbeat:
         """Make the heartbeat of an entry."""
-        return messages.Heartbeat(self.control.holder.revision, False, "open")
+        return messages.Heartbeat(self.control.catalogue.revision, False, "open")
 
     def changed(self) -> None:
         """Record a revision that came into force, and report it."""
-        revision = self.control.holder.revision
+        revision = self.control.catalogue.revision
         self.write(kind="revision", revision=revision, at=time.monotonic())
         self.control.send_report(
             messages.Report(
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -122,7 +122,7 @@
     """Hold a view of `count` members, and encode it once for a new watcher."""
     table = MemberTable("control-1", 1)
     for number in range(count):
-        table.announce(announce(number))
+        table.record_announcement(announce(number))
     update = table.full_update()
     return (table, update), len(codec.encode(Frame(1, 0, update)))
 
--- a/specs/cluster.py
+++ b/specs/cluster.py
@@ -19,7 +19,7 @@
     Snapshot,
     SnapshotInfo,
 )
-from wisteriapulley.control.client import CatalogueHolder
+from wisteriapulley.control.client import LocalCatalogue
 from wisteriapulley.wire.messages import CatalogueUpdate, JoinRequest, SnapshotPart
 
 STEP_MS = 25
@@ -79,7 +79,7 @@
     replica_class : type
         `Replica`, or a mutant of it.
     holder_class : type
-        `CatalogueHolder` of the watchers, or a mutant of it.
+        `LocalCatalogue` of the watchers, or a mutant of it.
     keeps_identity : bool
         Mutant: an emptied disk comes back under its old identity.
     forgets_vote : bool
@@ -91,7 +91,7 @@
     def __init__(
         self,
         replica_class: type = Replica,
-        holder_class: type = CatalogueHolder,
+        holder_class: type = LocalCatalogue,
         keeps_identity: bool = False,
         forgets_vote: bool = False,
         notes_uncommitted: bool = False,
@@ -391,7 +391,7 @@
         leased = node.replica.lease_left_ms(self.clock(node)) > 0
         fresh = leased and node.replica.applied_index >= node.replica.commit_index
         content = msgspec.msgpack.encode(CatalogueImage(node.state.revision, {}))
-        self.holder.offer(CatalogueUpdate(node.state.revision, fresh, content))
+        self.holder.apply_update(CatalogueUpdate(node.state.revision, fresh, content))
         if self.holder.confirmed:
             before, self.in_force = self.in_force, self.holder.revision
             detail = f"{before} became {self.in_force}"
--- a/specs/mutants.py
+++ b/specs/mutants.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from wisteriapulley.consensus import Replica
-from wisteriapulley.control.client import CatalogueHolder
+from wisteriapulley.control.client import LocalCatalogue
 from wisteriapulley.wire.messages import VoteRequest
 
 
@@ -123,21 +123,21 @@
         return done
 
 
-class TakesAnyRevision(CatalogueHolder):
+class TakesAnyRevision(LocalCatalogue):
     """A node that applies what it hears last."""
 
-    def offer(self, update) -> bool:
+    def apply_update(self, update) -> bool:
         """Forget what was in force."""
         self.image = type(self.image)(0, {})
-        return super().offer(update)
+        return super().apply_update(update)
 
 
-class TrustsAnyInstance(CatalogueHolder):
+class TrustsAnyInstance(LocalCatalogue):
     """A node that starts with what any instance tells, quorum or not."""
 
-    def offer(self, update) -> bool:
+    def apply_update(self, update) -> bool:
         """Take every update for a confirmed one."""
-        return super().offer(update._replace(fresh=True))
+        return super().apply_update(update._replace(fresh=True))
 
 
 SAFETY = ("election_safety", "leader_completeness", "log_matching", "no_commit_lost")
--- a/src/wisteriapulley/cli.py
+++ b/src/wisteriapulley/cli.py
@@ -69,11 +69,11 @@
     def __call__(self) -> int:
         """Write the identity of the first voter."""
         from wisteriapulley.consensus.setup import init_folder
-        from wisteriapulley.control.founding import refuse_if_founded
+        from wisteriapulley.control.founding import check_not_founded
         from wisteriapulley.settings import load_settings
 
         settings = load_settings(self.settings, "control")
-        refuse_if_founded(settings)
+        check_not_founded(settings)
         identity = init_folder(settings)
         print(
             f"{settings.data_folder}: {settings.node_id} initializes the cluster,"
--- a/src/wisteriapulley/control/client.py
+++ b/src/wisteriapulley/control/client.py
@@ -19,25 +19,25 @@
 
 log = logging.getLogger(__name__)
 
-PROPOSE_S = 4.0
-LEASE_S = 2.0
+PROPOSE_TIMEOUT_S = 4.0
+LEASE_TIMEOUT_S = 2.0
 # Longer than a control instance waits for its quorum.
-WATCH_S = 5.0
-CONFIRM_AGAIN_S = 1.0
+WATCH_TIMEOUT_S = 5.0
+CONFIRM_RETRY_S = 1.0
 # Load: 820 copies in a burst, whose progress would be reported several times a
 # second each. Harm prevented: a control instance busy with progress; a change
 # of state or revision is always reported at once.
-REPORT_S = 2.0
+PROGRESS_REPORT_DELAY_S = 2.0
 # A control instance that has known no leader for so long is cut off: its nodes
 # try another one.
-ISOLATED_S = 3.0
+ISOLATED_TIMEOUT_S = 3.0
 # Load: 1,330 nodes while no instance has a quorum. Harm prevented: all of them
 # changing instances every few seconds; the patience doubles up to this.
-ISOLATED_MOST_S = 120.0
+MAX_ISOLATED_TIMEOUT_S = 120.0
 ISOLATED_STATE = "isolated"
 
 
-class CatalogueHolder:
+class LocalCatalogue:
     """The catalogue in force at a node; its revision never goes down.
 
     A node that has just started can't know which revision it had before. So it
@@ -57,18 +57,18 @@
         """Revision in force here."""
         return self.image.revision
 
-    def offer(self, update: messages.CatalogueUpdate) -> bool:
+    def apply_update(self, message: messages.CatalogueUpdate) -> bool:
         """Take an update in unless it is older; tell whether it changed."""
-        if update.fresh and update.revision >= self.revision:
+        if message.fresh and message.revision >= self.revision:
             self.confirmed = True
-        if not self.confirmed or update.revision <= self.revision:
+        if not self.confirmed or message.revision <= self.revision:
             return False
-        self.image = msgspec.msgpack.decode(update.content, type=CatalogueImage)
-        self.content = update.content
+        self.image = msgspec.msgpack.decode(message.content, type=CatalogueImage)
+        self.content = message.content
         self.by_service = entries_by_service(self.image)
         return True
 
-    def update(self) -> messages.CatalogueUpdate:
+    def to_update(self) -> messages.CatalogueUpdate:
         """Return what is in force, for a neighbour that is behind."""
         return messages.CatalogueUpdate(self.revision, False, self.content)
 
@@ -103,24 +103,24 @@
         self.services = services
         self.on_catalogue = on_catalogue
         self.on_members = on_members
-        self.holder = CatalogueHolder()
+        self.catalogue = LocalCatalogue()
         self.members: dict[str, messages.Announce] = {}
         self.announcement: messages.Announce | None = None
         self.report: messages.Report | None = None
         self.report_timer: asyncio.TimerHandle | None = None
-        self.isolated_at: float | None = None
-        self.patience_s = ISOLATED_S
+        self.isolated_since_s: float | None = None
+        self.isolated_timeout_s = ISOLATED_TIMEOUT_S
         self.pulling = False
         self.keeper = ReconnectingLink(
-            self.rotated(identity.node_id),
+            self.rotated_addresses(identity.node_id),
             identity,
             self.handle,
             heartbeat,
             settings,
-            self.greet,
+            self.on_link_opened,
         )
 
-    def rotated(self, node_id: str) -> list:
+    def rotated_addresses(self, node_id: str) -> list:
         """Order the control addresses so that nodes spread over them."""
         addresses = list(self.settings.control)
         start = sum(node_id.encode()) % len(addresses)
@@ -129,27 +129,27 @@
     def start(self) -> None:
         """Begin watching."""
         self.keeper.start()
-        self.confirming = asyncio.get_running_loop().create_task(self.confirm())
+        self.confirm_task = asyncio.get_running_loop().create_task(self.confirm_loop())
 
     async def stop(self) -> None:
         """Stop watching."""
-        self.confirming.cancel()
+        self.confirm_task.cancel()
         if self.report_timer is not None:
             self.report_timer.cancel()
         await self.keeper.stop()
 
-    async def confirm(self) -> None:
+    async def confirm_loop(self) -> None:
         """Watch again until a quorum has confirmed the catalogue here."""
-        while not self.holder.confirmed:
-            await asyncio.sleep(CONFIRM_AGAIN_S)
+        while not self.catalogue.confirmed:
+            await asyncio.sleep(CONFIRM_RETRY_S)
             link = self.keeper.open_link
             if link is not None and not self.pulling:
                 link.spawn(self.pull(link))
 
-    async def greet(self, link: Link) -> None:
+    async def on_link_opened(self, link: Link) -> None:
         """Announce and watch over a new link."""
-        self.isolated_at = None
-        link.on_heartbeat = self.heard_control
+        self.isolated_since_s = None
+        link.on_heartbeat = self.on_control_heartbeat
         if self.announcement is not None:
             link.post(self.announcement)
         link.spawn(self.watch(link))
@@ -158,9 +158,9 @@
 
     async def watch(self, link: Link) -> None:
         """Ask for the catalogue and take the answer in."""
-        query = messages.Watch(self.holder.revision, self.services)
+        query = messages.Watch(self.catalogue.revision, self.services)
         try:
-            frame = await link.request(query, WATCH_S)
+            frame = await link.request(query, WATCH_TIMEOUT_S)
         except WisteriapulleyError as error:
             log.info("watch of %s: %s", link.peer_id, error)
             return
@@ -177,11 +177,13 @@
         before, self.report = self.report, report
         if report == before:
             return
-        if before is None or not same_but_progress(before, report):
+        if before is None or not differs_only_in_progress(before, report):
             self.report_now()
         elif self.report_timer is None:
             loop = asyncio.get_running_loop()
-            self.report_timer = loop.call_later(REPORT_S, self.report_now)
+            self.report_timer = loop.call_later(
+                PROGRESS_REPORT_DELAY_S, self.report_now
+            )
 
     def report_now(self) -> None:
         """Send the newest report."""
@@ -203,7 +205,7 @@
         WisteriapulleyError
             NO_QUORUM: it is not known whether the command was committed.
         """
-        frame = await self.ask(messages.Propose(encode(command)), PROPOSE_S)
+        frame = await self.request(messages.Propose(encode(command)), PROPOSE_TIMEOUT_S)
         return decode_result(command, frame.message.result)
 
     async def lease(self) -> messages.Lease:
@@ -214,9 +216,9 @@
         WisteriapulleyError
             NO_QUORUM.
         """
-        return (await self.ask(messages.LeaseQuery(), LEASE_S)).message
+        return (await self.request(messages.LeaseQuery(), LEASE_TIMEOUT_S)).message
 
-    async def ask(self, message: tuple, timeout_s: float) -> Frame:
+    async def request(self, message: tuple, timeout_s: float) -> Frame:
         """Send a request to the control instance; a lost answer is NO_QUORUM."""
         link = self.keeper.open_link
         if link is None:
@@ -238,7 +240,7 @@
     @receive.register
     def receive_catalogue(self, message: messages.CatalogueUpdate) -> None:
         """Handle the message `CatalogueUpdate`."""
-        if self.holder.offer(message):
+        if self.catalogue.apply_update(message):
             self.on_catalogue()
 
     @receive.register
@@ -261,34 +263,36 @@
         finally:
             self.pulling = False
 
-    def heard(self, link: Link) -> None:
+    def pull_if_behind(self, link: Link) -> None:
         """Compare a peer's revision with ours; pull when behind.
 
         One pull at a time: a change makes all neighbours run ahead at once.
         """
-        behind = link.peer_heartbeat.revision > self.holder.revision
-        if behind and self.holder.confirmed and not self.pulling:
+        behind = link.peer_heartbeat.revision > self.catalogue.revision
+        if behind and self.catalogue.confirmed and not self.pulling:
             link.spawn(self.pull(link))
 
-    def heard_control(self, link: Link) -> None:
+    def on_control_heartbeat(self, link: Link) -> None:
         """Compare revisions, and leave a control instance that is cut off."""
-        self.heard(link)
+        self.pull_if_behind(link)
         now = asyncio.get_running_loop().time()
         if link.peer_heartbeat.state != ISOLATED_STATE:
-            self.isolated_at = None
-            self.patience_s = ISOLATED_S
-        elif self.isolated_at is None:
-            self.isolated_at = now
-        elif now - self.isolated_at > self.patience_s:
-            self.patience_s = min(ISOLATED_MOST_S, 2 * self.patience_s)
+            self.isolated_since_s = None
+            self.isolated_timeout_s = ISOLATED_TIMEOUT_S
+        elif self.isolated_since_s is None:
+            self.isolated_since_s = now
+        elif now - self.isolated_since_s > self.isolated_timeout_s:
+            self.isolated_timeout_s = min(
+                MAX_ISOLATED_TIMEOUT_S, 2 * self.isolated_timeout_s
+            )
             link.close()
 
     async def wait_confirmed(self) -> None:
         """Wait until a quorum confirmed the catalogue in force here."""
-        while not self.holder.confirmed:
+        while not self.catalogue.confirmed:
             await asyncio.sleep(0.02)
 
 
-def same_but_progress(before: messages.Report, after: messages.Report) -> bool:
+def differs_only_in_progress(before: messages.Report, after: messages.Report) -> bool:
     """Tell whether two reports differ in the bytes copied only."""
     return before._replace(bytes_done=after.bytes_done) == after
--- a/src/wisteriapulley/control/orders.py
+++ b/src/wisteriapulley/control/control_api.py
@@ -26,8 +26,8 @@
 
 # A caller that hears nothing within a second goes to another instance: past
 # this time the answer is that the outcome is not known.
-ORDER_S = 2.5
-READ_S = 0.8
+COMMIT_TIMEOUT_S = 2.5
+READ_TIMEOUT_S = 0.8
 TABLE_DECODER = msgspec.msgpack.Decoder(RoutingTable)
 
 
@@ -47,7 +47,7 @@
     return TABLE_DECODER.decode(zlib.decompress(content))
 
 
-class Orders:
+class ControlApi:
     """Calls of operators and targets at one control instance.
 
     Parameters
@@ -88,7 +88,7 @@
             return held
         return await self.commit(command)
 
-    async def name_weights(self, model: str, version: int) -> int:
+    async def set_desired_version(self, model: str, version: int) -> int:
         """Name the version of a model's weights; see `replace_routing`."""
         held = self.service.state.weights.get(model, 0)
         if version <= held:
@@ -98,7 +98,7 @@
     async def commit(self, command: Command) -> int:
         """Commit a command that names a version; return the one in force."""
         try:
-            async with asyncio.timeout(ORDER_S):
+            async with asyncio.timeout(COMMIT_TIMEOUT_S):
                 data = await self.service.propose(command)
         except TimeoutError as error:
             raise no_quorum("no majority answered in time") from error
@@ -120,7 +120,7 @@
             none was sent yet.
         """
         try:
-            async with asyncio.timeout(READ_S):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 await self.service.driver.read_barrier()
         except TimeoutError as error:
             raise no_quorum("no majority answered in time") from error
@@ -129,14 +129,14 @@
             raise no_quorum("no routing table was accepted yet")
         return zlib.decompress(routing.original)
 
-    def heard(self, state: TargetState) -> None:
+    def observe_target(self, state: TargetState) -> None:
         """Take a target's announcement; what changed is told at once."""
-        if self.service.news.feed.announced(state):
+        if self.service.publisher.target_feed.observe_announcement(state):
             log.info("target changed", extra=target_fields(state))
 
-    def left(self, target_id: str) -> None:
+    def remove_target(self, target_id: str) -> None:
         """Take a target's word that it ends."""
-        state = self.service.news.feed.ended(target_id)
+        state = self.service.publisher.target_feed.record_end(target_id)
         log.info("target changed", extra=target_fields(state))
 
 
--- a/src/wisteriapulley/control/driver.py
+++ b/src/wisteriapulley/control/driver.py
@@ -18,7 +18,7 @@
 from wisteriapulley.consensus.log import Log
 from wisteriapulley.consensus.storage import DiskIdentity, read_identity
 from wisteriapulley.control.commands import Command, Result, encode
-from wisteriapulley.control.seeds import files_of
+from wisteriapulley.control.seeds import file_operations
 from wisteriapulley.control.state import ControlState, stamp
 from wisteriapulley.errors import (
     DiskFullError,
@@ -119,7 +119,7 @@
                 f"{settings.data_folder}: belongs to {identity.node_id!r}, settings"
                 f" say {settings.node_id!r}",
             )
-        self.storage = Storage.open(settings.data_folder, files_of(identity))
+        self.storage = Storage.open(settings.data_folder, file_operations(identity))
         if self.storage.snapshot is not None:
             state.restore(self.storage.read_snapshot())
         self.replica = self.new_replica(identity, STARTED_MS)
@@ -261,7 +261,7 @@
         self.storage.close()
         folder = self.settings.data_folder
         identity = read_identity(folder)
-        self.storage = Storage.open(folder, files_of(identity))
+        self.storage = Storage.open(folder, file_operations(identity))
         applied = self.replica.applied_index
         self.replica = self.new_replica(identity, now_ms)
         self.replica.commit_index = max(self.replica.commit_index, applied)
--- a/src/wisteriapulley/control/fanout.py
+++ b/src/wisteriapulley/control/fanout.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from wisteriapulley.catalogue import Catalogue
-from wisteriapulley.control.members import matching
+from wisteriapulley.control.members import filter_by_service
 from wisteriapulley.wire import Link, messages
 
 # Load: one change goes to all watchers of an instance, some of them frozen or
@@ -28,7 +28,7 @@
         self.members_due = False
 
     @property
-    def is_open(self) -> bool:
+    def is_writable(self) -> bool:
         """Whether its link is open and has room."""
         if self.link.closed.is_set():
             return False
@@ -55,11 +55,11 @@
         self,
         catalogue: Catalogue,
         members: Mapping[str, messages.Announce],
-        is_settled: Callable[[], bool],
+        is_view_complete: Callable[[], bool],
     ):
         self.catalogue = catalogue
         self.members = members
-        self.is_settled = is_settled
+        self.is_view_complete = is_view_complete
         self.watchers: dict[Link, Watcher] = {}
 
     def add(self, link: Link, services: tuple[str, ...]) -> None:
@@ -78,18 +78,18 @@
         """Forget a watcher."""
         self.watchers.pop(link, None)
 
-    def members_changed(self, changes: Iterable[messages.Announce]) -> None:
+    def publish_members(self, changes: Iterable[messages.Announce]) -> None:
         """Tell watchers of changes that concern them."""
         for watcher in self.watchers.values():
-            concerned = matching(changes, watcher.services)
+            concerned = filter_by_service(changes, watcher.services)
             if not concerned or watcher.members_due:
                 continue
-            if watcher.is_open:
+            if watcher.is_writable:
                 watcher.link.post(messages.MemberUpdate("", 0, False, concerned))
             else:
                 watcher.members_due = True
 
-    def members_settled(self) -> None:
+    def schedule_full_updates(self) -> None:
         """Note that every watcher is due a whole view."""
         for watcher in self.watchers.values():
             watcher.members_due = True
@@ -100,7 +100,8 @@
         due = [
             watcher
             for watcher in self.watchers.values()
-            if (watcher.revision < revision or watcher.members_due) and watcher.is_open
+            if (watcher.revision < revision or watcher.members_due)
+            and watcher.is_writable
         ]
         behind = [watcher for watcher in due if watcher.revision < revision]
         if behind:
@@ -115,8 +116,8 @@
     def send_members(self, watcher: Watcher) -> None:
         """Send all members that concern a watcher."""
         watcher.members_due = False
-        members = matching(self.members.values(), watcher.services)
-        full = self.is_settled()
+        members = filter_by_service(self.members.values(), watcher.services)
+        full = self.is_view_complete()
         watcher.link.post(messages.MemberUpdate("", 0, full, members))
 
     def catalogue_update(
--- a/src/wisteriapulley/control/followers.py
+++ b/src/wisteriapulley/control/followers.py
@@ -27,23 +27,23 @@
         self.failure_domain = failure_domain
         self.regions = regions
         self.links: set[Link] = set()
-        self.entries = 0
+        self.entry_count = 0
 
     def add(self, link: Link) -> None:
         """Take a follower in."""
         self.links.add(link)
-        self.count_entries()
+        self.update_entry_count()
 
     def remove(self, link: Link) -> None:
         """Forget a follower."""
         self.links.discard(link)
-        self.count_entries()
+        self.update_entry_count()
 
-    def count_entries(self) -> None:
+    def update_entry_count(self) -> None:
         """Know how many of the followers are entries."""
-        self.entries = sum(link.peer.role == ENTRY for link in self.links)
+        self.entry_count = sum(link.peer.role == ENTRY for link in self.links)
 
-    def is_near(self, link: Link) -> bool:
+    def is_in_own_region(self, link: Link) -> bool:
         """Tell whether a follower is in this instance's region."""
         return self.regions.same(link.peer.failure_domain, self.failure_domain)
 
@@ -58,9 +58,9 @@
     def push_routing(self, news: messages.RoutingNews) -> None:
         """Send a table to the entries of the region, its version to all."""
         links = tuple(self.open_links(ENTRY))
-        broadcast(filter(self.is_near, links), news)
+        broadcast(filter(self.is_in_own_region, links), news)
         for link in links:
-            if not self.is_near(link):
+            if not self.is_in_own_region(link):
                 link.send_heartbeat()
 
     def push_models(self, news: messages.ModelNews) -> None:
@@ -90,7 +90,7 @@
         if members:
             broadcast(self.open_links(SIDECAR), messages.TargetNews(members))
 
-    def push_beats(self, beats: tuple[messages.TargetBeat, ...]) -> None:
+    def push_heartbeats(self, beats: tuple[messages.TargetBeat, ...]) -> None:
         """Tell entries which targets were heard again."""
         if beats:
             broadcast(self.open_links(ENTRY), messages.TargetBeats(beats))
--- a/src/wisteriapulley/control/following.py
+++ b/src/wisteriapulley/control/following.py
@@ -15,8 +15,8 @@
 
 from wisteriapulley.clocks import steady_s
 from wisteriapulley.control.client import ISOLATED_STATE
+from wisteriapulley.control.control_api import unpack_table
 from wisteriapulley.control.nearest import by_nearness, instances_to_follow
-from wisteriapulley.control.orders import unpack_table
 from wisteriapulley.errors import WisteriapulleyError
 from wisteriapulley.logs import fields
 from wisteriapulley.policy.subset import Member
--- a/src/wisteriapulley/control/forward.py
+++ b/src/wisteriapulley/control/forward.py
@@ -6,12 +6,12 @@
 from wisteriapulley.wire import Link, messages
 from wisteriapulley.wire.link import raise_failure
 
-FORWARD_S = 3.5
-LEADER_CHECK_S = 0.1
+FORWARD_TIMEOUT_S = 3.5
+LEADER_CHECK_INTERVAL_S = 0.1
 
 
 async def forward(
-    link: Link, message: messages.Propose, leads: Callable[[], bool]
+    link: Link, message: messages.Propose, is_leader: Callable[[], bool]
 ) -> bytes:
     """Send a command to the leader and wait while it leads.
 
@@ -36,14 +36,14 @@
         The leader answered with a failure.
     """
     call = link.call(message)
-    checks = int(FORWARD_S / LEADER_CHECK_S)
+    checks = int(FORWARD_TIMEOUT_S / LEADER_CHECK_INTERVAL_S)
     try:
         while True:
             checks -= 1
             try:
-                frame = await call.reply(LEADER_CHECK_S)
+                frame = await call.reply(LEADER_CHECK_INTERVAL_S)
             except WireError as error:
-                if error.code == ResultCode.LINK_TIMEOUT and checks > 0 and leads():
+                if error.code == ResultCode.LINK_TIMEOUT and checks > 0 and is_leader():
                     continue
                 raise
             raise_failure(frame)
--- a/src/wisteriapulley/control/founding.py
+++ b/src/wisteriapulley/control/founding.py
@@ -10,7 +10,7 @@
 from wisteriapulley.wire.link import Link, connect
 
 
-def refuse_if_founded(settings: ControlSettings) -> None:
+def check_not_founded(settings: ControlSettings) -> None:
     """Refuse to found while a peer answers.
 
     Only a cluster that is founded runs, so any peer that answers shows one. A
@@ -21,7 +21,7 @@
     StorageError
         A peer answers.
     """
-    answers = asyncio.run(peers_answer(settings))
+    answers = asyncio.run(find_running_peer(settings))
     if answers:
         raise StorageError(
             ResultCode.ALREADY_FOUNDED,
@@ -30,7 +30,7 @@
         )
 
 
-async def peers_answer(settings: ControlSettings) -> str:
+async def find_running_peer(settings: ControlSettings) -> str:
     """Return the node id of a peer that answers, or nothing."""
     identity = Identity(
         settings.node_id,
@@ -44,7 +44,7 @@
             link = await connect(
                 peer.address,
                 identity,
-                ignore,
+                ignore_frame,
                 messages.Heartbeat,
                 settings.heartbeat_ms,
                 settings.silence_ms,
@@ -56,5 +56,5 @@
     return ""
 
 
-async def ignore(link: Link, frame) -> None:
+async def ignore_frame(link: Link, frame) -> None:
     """Take a frame and do nothing."""
--- a/src/wisteriapulley/control/members.py
+++ b/src/wisteriapulley/control/members.py
@@ -28,11 +28,11 @@
     view: tuple[Announce, ...] = ()
 
 
-class Owned(NamedTuple):
+class OwnedMember(NamedTuple):
     """One owner's record of a member; it ends at `ends_ms` unless renewed."""
 
     announce: Announce
-    ends_ms: float = float("inf")
+    expires_ms: float = float("inf")
 
 
 class MemberTable:
@@ -61,13 +61,13 @@
         self.epoch = epoch
         self.lease_ms = lease_ms
         self.grace_ms = grace_ms
-        self.owned: dict[str, dict[str, Owned]] = {owner: {}}
+        self.owned: dict[str, dict[str, OwnedMember]] = {owner: {}}
         self.epochs: dict[str, int] = {}
         self.view: dict[str, Announce] = {}
 
     # -- own members -----------------------------------------------------
 
-    def announce(self, announce: Announce) -> Changes:
+    def record_announcement(self, announce: Announce) -> Changes:
         """Take in what a member linked to this instance says of itself.
 
         An older announcement than the one that stands changes nothing: of two
@@ -75,18 +75,22 @@
         """
         members = self.owned[self.owner]
         standing = members.get(announce.node_id)
-        if standing is not None and age(standing.announce) > age(announce):
+        if standing is not None and announcement_order(
+            standing.announce
+        ) > announcement_order(announce):
             return Changes()
-        members[announce.node_id] = Owned(announce)
+        members[announce.node_id] = OwnedMember(announce)
         told = standing is not None and standing.announce == announce
-        return Changes(() if told else (announce,), self.refresh([announce.node_id]))
+        return Changes(
+            () if told else (announce,), self.refresh_view([announce.node_id])
+        )
 
     def detach(self, node_id: str, now_ms: float) -> None:
         """Let an own member's lease run out: its link closed."""
         members = self.owned[self.owner]
         if node_id in members:
             record = members[node_id]
-            members[node_id] = record._replace(ends_ms=now_ms + self.lease_ms)
+            members[node_id] = record._replace(expires_ms=now_ms + self.lease_ms)
 
     def full_update(self) -> MemberUpdate:
         """Return all that this instance owns."""
@@ -97,7 +101,7 @@
 
     # -- members of others -----------------------------------------------
 
-    def update(self, update: MemberUpdate, now_ms: float) -> Changes:
+    def apply_update(self, update: MemberUpdate, now_ms: float) -> Changes:
         """Take in what another owner tells.
 
         A restarted owner begins with nothing: what it owned before stays for a
@@ -110,36 +114,40 @@
         members = self.owned.setdefault(update.owner, {})
         names = [member.node_id for member in update.members]
         if update.full and update.epoch > epoch:
-            self.end_all(update.owner, now_ms + self.lease_ms)
+            self.limit_expiry(update.owner, now_ms + self.lease_ms)
         elif update.full:
-            names += self.forget_settled(members, set(names))
+            names += self.drop_unlisted(members, set(names))
         for member in update.members:
             if member.gone:
                 members.pop(member.node_id, None)
             else:
-                members[member.node_id] = Owned(member)
-        return Changes(view=self.refresh(names))
+                members[member.node_id] = OwnedMember(member)
+        return Changes(view=self.refresh_view(names))
 
-    def forget_settled(self, members: dict[str, Owned], kept: set[str]) -> list[str]:
+    def drop_unlisted(
+        self, members: dict[str, OwnedMember], kept: set[str]
+    ) -> list[str]:
         """Drop records that a full update lacks and that await no renewal."""
         dropped = [
             name
             for name, record in members.items()
-            if name not in kept and record.ends_ms == float("inf")
+            if name not in kept and record.expires_ms == float("inf")
         ]
         for name in dropped:
             del members[name]
         return dropped
 
-    def owner_lost(self, owner: str, now_ms: float) -> None:
+    def owner_disconnected(self, owner: str, now_ms: float) -> None:
         """Let all that an unreachable owner holds run out after the grace."""
-        self.end_all(owner, now_ms + self.grace_ms)
+        self.limit_expiry(owner, now_ms + self.grace_ms)
 
-    def end_all(self, owner: str, ends_ms: float) -> None:
+    def limit_expiry(self, owner: str, expires_ms: float) -> None:
         """Let all of an owner's records end at `ends_ms` at the latest."""
         members = self.owned.get(owner, {})
         for name, record in members.items():
-            members[name] = record._replace(ends_ms=min(record.ends_ms, ends_ms))
+            members[name] = record._replace(
+                expires_ms=min(record.expires_ms, expires_ms)
+            )
 
     # -- both ------------------------------------------------------------
 
@@ -148,20 +156,20 @@
         own: list[Announce] = []
         names: list[str] = []
         for owner, members in self.owned.items():
-            ended = [n for n, record in members.items() if record.ends_ms <= now_ms]
+            ended = [n for n, record in members.items() if record.expires_ms <= now_ms]
             names += ended
             for name in ended:
                 announce = members.pop(name).announce
                 if owner == self.owner:
                     own.append(announce._replace(gone=True))
-        return Changes(tuple(own), self.refresh(names))
+        return Changes(tuple(own), self.refresh_view(names))
 
-    def refresh(self, names: Iterable[str]) -> tuple[Announce, ...]:
+    def refresh_view(self, names: Iterable[str]) -> tuple[Announce, ...]:
         """Recompute the view of `names`; return the changes."""
-        changes = (self.refresh_one(name) for name in dict.fromkeys(names))
+        changes = (self.refresh_member(name) for name in dict.fromkeys(names))
         return tuple(change for change in changes if change is not None)
 
-    def refresh_one(self, name: str) -> Announce | None:
+    def refresh_member(self, name: str) -> Announce | None:
         """Recompute one member of the view; return its change."""
         known = [
             members[name].announce for members in self.owned.values() if name in members
@@ -170,17 +178,17 @@
         if not known:
             self.view.pop(name, None)
             return before._replace(gone=True) if before is not None else None
-        newest = max(known, key=age)
+        newest = max(known, key=announcement_order)
         self.view[name] = newest
         return newest if newest != before else None
 
 
-def age(announce: Announce) -> tuple[int, int]:
+def announcement_order(announce: Announce) -> tuple[int, int]:
     """Order announcements of one node id, oldest first."""
     return announce.incarnation, announce.sequence
 
 
-def matching(
+def filter_by_service(
     members: Iterable[Announce], services: tuple[str, ...]
 ) -> tuple[Announce, ...]:
     """Return members of `services`; no services means all."""
--- a/src/wisteriapulley/control/operators.py
+++ b/src/wisteriapulley/control/operators.py
@@ -20,7 +20,7 @@
 
 def operator_routes(service) -> list[web.RouteDef]:
     """Make the routes of `service` (a ControlService)."""
-    operators = Operators(service)
+    operators = OperatorHandlers(service)
     return [
         web.post("/v1/catalogue/changes", operators.change),
         web.get("/v1/catalogue", operators.get),
@@ -29,13 +29,13 @@
     ]
 
 
-class Operators:
+class OperatorHandlers:
     """Handlers of the operators' interface."""
 
     def __init__(self, service):
         self.service = service
 
-    def owner_of(self, request: web.Request) -> str:
+    def authenticate(self, request: web.Request) -> str:
         """Return whose token the request bears.
 
         Raises
@@ -57,7 +57,7 @@
 
     async def change(self, request: web.Request) -> web.Response:
         """Accept a change."""
-        owner = self.owner_of(request)
+        owner = self.authenticate(request)
         try:
             change = msgspec.json.decode(await request.read(), type=Change)
         except msgspec.DecodeError as error:
@@ -76,17 +76,17 @@
 
     async def get(self, request: web.Request) -> web.Response:
         """Return the accepted catalogue, confirmed by a quorum."""
-        self.owner_of(request)
-        await self.confirm()
+        self.authenticate(request)
+        await self.wait_for_quorum()
         return json_response(self.service.state.catalogue.image())
 
     async def history(self, request: web.Request) -> web.Response:
         """Return the accepted changes, oldest first."""
-        self.owner_of(request)
-        await self.confirm()
+        self.authenticate(request)
+        await self.wait_for_quorum()
         return json_response(tuple(history_rows(self.service.state.catalogue)))
 
-    async def confirm(self) -> None:
+    async def wait_for_quorum(self) -> None:
         """Wait until what a majority had accepted is applied here.
 
         Raises
@@ -101,7 +101,7 @@
 
     async def status(self, request: web.Request) -> web.Response:
         """Return what every node has in force; it needs no quorum."""
-        self.owner_of(request)
+        self.authenticate(request)
         service = self.service
         rows = tuple(service.reports.rows(service.members.view))
         return json_response(
--- a/src/wisteriapulley/control/pieces.py
+++ b/src/wisteriapulley/control/pieces.py
@@ -16,7 +16,7 @@
 # A version whose manifest alone was asked for is drawn after so long. Engines that
 # restart hold its pieces and wait for the manifest: drawn at once, the pieces fill the
 # origin's link before the other instances have had the manifest.
-DRAW_AHEAD_S = 1.0
+PREFETCH_DELAY_S = 1.0
 
 
 class PieceServer:
@@ -48,11 +48,11 @@
         self.open_origin = open_origin
         self.relay = Relay(self.sources)
         # Versions to be drawn soon, though no piece of them is wanted yet.
-        self.drawing: dict[tuple[str, int], asyncio.TimerHandle] = {}
+        self.prefetch_timers: dict[tuple[str, int], asyncio.TimerHandle] = {}
 
     def stop(self) -> None:
         """Stop fetching."""
-        for timer in self.drawing.values():
+        for timer in self.prefetch_timers.values():
             timer.cancel()
         self.relay.stop()
 
@@ -76,12 +76,12 @@
         asks outside its region.
         """
         own = self.regions.of(self.settings.failure_domain)
-        head = self.head_of(own)
+        head = self.lowest_peer_in(own)
         if head is not None and head.peer_id < self.settings.node_id:
             return head
-        return None if own == home else self.head_of(home)
+        return None if own == home else self.lowest_peer_in(home)
 
-    def head_of(self, region: str) -> Link | None:
+    def lowest_peer_in(self, region: str) -> Link | None:
         """Return the link to a region's other instance with the lowest node id."""
         links = filter(None, map(self.driver.link_to, sorted(self.driver.peers)))
         for link in links:
@@ -97,15 +97,15 @@
         """Answer with a manifest, and fetch its pieces soon."""
         manifest = await self.relay.wait_manifest(query.model, query.version)
         link.post(manifest_reply(manifest), reply_to=frame.id)
-        self.draw_ahead(manifest.model, manifest.version)
+        self.schedule_prefetch(manifest.model, manifest.version)
 
-    def draw_ahead(self, model: str, version: int) -> None:
+    def schedule_prefetch(self, model: str, version: int) -> None:
         """Fetch the pieces of a version before an engine without them asks."""
         key = (model, version)
-        if key not in self.drawing:
+        if key not in self.prefetch_timers:
             loop = asyncio.get_running_loop()
-            self.drawing[key] = loop.call_later(
-                DRAW_AHEAD_S, self.relay.prefetch, model, version
+            self.prefetch_timers[key] = loop.call_later(
+                PREFETCH_DELAY_S, self.relay.prefetch, model, version
             )
 
     async def answer_held(
--- a/src/wisteriapulley/control/news.py
+++ b/src/wisteriapulley/control/publisher.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from wisteriapulley.clocks import steady_ms
+from wisteriapulley.control.control_api import unpack_table
 from wisteriapulley.control.driver import Driver
 from wisteriapulley.control.followers import ENTRY, Followers
-from wisteriapulley.control.orders import unpack_table
 from wisteriapulley.control.state import ControlState
 from wisteriapulley.control.suspect_feed import SuspectFeed
 from wisteriapulley.control.target_feed import TargetFeed
@@ -19,12 +19,12 @@
 from wisteriapulley.wire import Frame, Link, messages
 
 # A follower that asks for the table waits no longer for a quorum's word on it.
-FRESH_S = 0.8
+CONFIRM_TIMEOUT_S = 0.8
 # Older than any time that a replaced version of weights may still serve.
-LONG_AGO_MS = 3_600_000.0
+RESTORED_AGE_MS = 3_600_000.0
 
 
-class News:
+class Publisher:
     """Routing tables, weights and targets, as they are told to followers.
 
     Parameters
@@ -50,32 +50,32 @@
         self,
         settings: ControlSettings,
         state: ControlState,
-        on_weights: Callable[[str, int], object],
-        tell_peers: Callable[[tuple], None],
+        on_new_weights: Callable[[str, int], object],
+        send_to_peers: Callable[[tuple], None],
     ):
         self.state = state
-        self.on_weights = on_weights
+        self.on_new_weights = on_new_weights
         self.driver: Driver | None = None
         self.followers = Followers(
             settings.failure_domain, Regions(settings.failure_domain_regions)
         )
         self.targets = TargetTable(settings.target_lease_ms)
-        self.tell_peers = tell_peers
-        self.feed = TargetFeed(self.targets, self.followers, tell_peers)
-        self.suspects = SuspectFeed(self.followers, tell_peers)
+        self.send_to_peers = send_to_peers
+        self.target_feed = TargetFeed(self.targets, self.followers, send_to_peers)
+        self.suspect_feed = SuspectFeed(self.followers, send_to_peers)
         self.versions = DesiredVersions()
-        self.told_routing = 0
-        self.told_models: list[messages.ModelState] = []
-        self.told_hosts = messages.ControlNews()
+        self.published_routing = 0
+        self.published_models: list[messages.ModelState] = []
+        self.published_hosts = messages.ControlNews()
         # Failure domain of each control instance that was ever linked.
-        self.domains = {settings.node_id: settings.failure_domain}
+        self.failure_domains = {settings.node_id: settings.failure_domain}
         self.table = RoutingTable(0)
 
-    def restored(self) -> None:
+    def publish_restored(self) -> None:
         """Take in what the disk held: it was named before this start, long ago."""
         for model, version in self.state.weights.items():
-            self.versions.record(model, version, steady_ms() - LONG_AGO_MS)
-        self.flush()
+            self.versions.record(model, version, steady_ms() - RESTORED_AGE_MS)
+        self.publish_changes()
 
     def origin(self) -> Origin | None:
         """Return the origin of weights, if the table in force names one."""
@@ -84,46 +84,46 @@
     def known_hosts(self) -> messages.ControlNews:
         """Return all instances that take part, as far as known."""
         hosts = tuple(sorted(self.driver.replica.members.node_ids()))
-        domains = tuple(self.domains.get(host, "") for host in hosts)
+        domains = tuple(self.failure_domains.get(host, "") for host in hosts)
         return messages.ControlNews(hosts, domains)
 
-    def flush_hosts(self) -> bool:
+    def publish_hosts(self) -> bool:
         """Tell followers of other hosts than before; tell whether there are."""
         hosts = self.known_hosts()
-        if hosts == self.told_hosts:
+        if hosts == self.published_hosts:
             return False
-        self.told_hosts = hosts
+        self.published_hosts = hosts
         self.followers.push_hosts(hosts)
         return True
 
-    def met(self, peer: messages.Hello) -> None:
+    def record_peer(self, peer: messages.Hello) -> None:
         """Know where another control instance is."""
-        self.domains[peer.node_id] = peer.failure_domain
+        self.failure_domains[peer.node_id] = peer.failure_domain
 
-    def flush(self) -> None:
+    def publish_changes(self) -> None:
         """Tell followers of a routing table or of weights that are new here."""
-        if self.state.routing.version > self.told_routing:
-            self.told_routing = self.state.routing.version
+        if self.state.routing.version > self.published_routing:
+            self.published_routing = self.state.routing.version
             self.table = unpack_table(self.state.routing.table)
-            self.followers.push_routing(self.routing(fresh=False))
-        if self.note_weights():
-            models = self.models()
-            self.followers.push_models(models)
-            self.tell_peers(models)
+            self.followers.push_routing(self.routing_message(fresh=False))
+        if self.record_weights():
+            models_message = self.models()
+            self.followers.push_models(models_message)
+            self.send_to_peers(models_message)
 
-    def note_weights(self) -> bool:
+    def record_weights(self) -> bool:
         """Note since when each version of weights is in force here."""
         for model, version in self.state.weights.items():
             if self.versions.record(model, version, steady_ms()):
-                self.on_weights(model, version)
+                self.on_new_weights(model, version)
         states = [
             state._replace(named=tuple(named.version for named in state.named))
             for state in self.models().models
         ]
-        changed, self.told_models = states != self.told_models, states
+        changed, self.published_models = states != self.published_models, states
         return changed
 
-    def take_models(self, message: messages.ModelNews) -> None:
+    def observe_models(self, message: messages.ModelNews) -> None:
         """Take in weights that another instance has in force, and tell followers.
 
         Load: weights are named while copies of the last ones fill the links between
@@ -140,11 +140,11 @@
             if self.versions.record(state.model, named.version, now_ms - named.age_ms)
         ]
         for key in new:
-            self.on_weights(*key)
+            self.on_new_weights(*key)
         if new:
             self.followers.push_models(self.models())
 
-    def routing(self, fresh: bool, known: int = 0) -> messages.RoutingNews:
+    def routing_message(self, fresh: bool, known: int = 0) -> messages.RoutingNews:
         """Make the news of the table in force; no content when `known` is it."""
         routing = self.state.routing
         content = routing.table if routing.version > known else b""
@@ -181,25 +181,25 @@
     ) -> None:
         """Take a follower in: tell it all news, and answer with the table."""
         self.followers.add(link)
-        link.post(self.feed.all_news())
+        link.post(self.target_feed.full_update())
         link.post(self.known_hosts())
         link.post(self.models())
         if link.peer.role == ENTRY:
-            self.suspects.tell_all(link)
+            self.suspect_feed.send_all(link)
         if self.state.routing.version > message.routing_version:
             # Not confirmed yet, but it was in force: a follower that has none may
             # serve by it half a second before a quorum answers.
-            link.post(self.routing(fresh=False, known=message.routing_version))
+            link.post(self.routing_message(fresh=False, known=message.routing_version))
         known = max(message.routing_version, self.state.routing.version)
-        news = await self.fresh_routing(known)
+        news = await self.confirmed_routing(known)
         link.post(news, reply_to=frame.id)
 
-    async def fresh_routing(self, known: int) -> messages.RoutingNews:
+    async def confirmed_routing(self, known: int) -> messages.RoutingNews:
         """Return the table in force, confirmed by a quorum if one answers."""
         try:
-            async with asyncio.timeout(FRESH_S):
+            async with asyncio.timeout(CONFIRM_TIMEOUT_S):
                 await self.driver.read_barrier()
             fresh = True
         except (WisteriapulleyError, TimeoutError):
             fresh = False
-        return self.routing(fresh, known)
+        return self.routing_message(fresh, known)
--- a/src/wisteriapulley/control/quorum_members.py
+++ b/src/wisteriapulley/control/quorum_members.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from wisteriapulley.control.driver import no_quorum
-from wisteriapulley.control.operators import Operators, json_response
+from wisteriapulley.control.operators import OperatorHandlers, json_response
 from wisteriapulley.errors import ResultCode, StorageError
 
 
@@ -33,21 +33,21 @@
 
 def quorum_routes(service) -> list[web.RouteDef]:
     """Make the routes of `service` (a ControlService)."""
-    routes = QuorumRoutes(service)
+    routes = QuorumHandlers(service)
     return [
-        web.get("/v1/control/members", routes.show),
-        web.delete("/v1/control/members/{node_id}", routes.remove),
+        web.get("/v1/control/members", routes.list_members),
+        web.delete("/v1/control/members/{node_id}", routes.remove_member),
     ]
 
 
-class QuorumRoutes:
+class QuorumHandlers:
     """Handlers; only the leader answers, others say to ask it."""
 
     def __init__(self, service):
         self.service = service
-        self.operators = Operators(service)
+        self.operators = OperatorHandlers(service)
 
-    def leading(self, request: web.Request):
+    def require_leader(self, request: web.Request):
         """Return the replica, if the operator is known and it leads.
 
         Raises
@@ -55,19 +55,19 @@
         WisteriapulleyError
             UNAUTHORIZED, or NO_QUORUM when another instance is to be asked.
         """
-        self.operators.owner_of(request)
+        self.operators.authenticate(request)
         replica = self.service.driver.replica
         if self.service.driver.own_lease() is None:
             raise no_quorum(f"{replica.leader or 'no instance'} leads; ask it")
         return replica
 
-    async def show(self, request: web.Request) -> web.Response:
+    async def list_members(self, request: web.Request) -> web.Response:
         """Return who takes part."""
-        return json_response(member_list(self.leading(request)))
+        return json_response(member_list(self.require_leader(request)))
 
-    async def remove(self, request: web.Request) -> web.Response:
+    async def remove_member(self, request: web.Request) -> web.Response:
         """Take a member out for good; a leader hands over first."""
-        replica = self.leading(request)
+        replica = self.require_leader(request)
         node_id = request.match_info["node_id"]
         if node_id not in replica.members.node_ids():
             raise StorageError(
--- a/src/wisteriapulley/control/reports.py
+++ b/src/wisteriapulley/control/reports.py
@@ -7,8 +7,8 @@
 from wisteriapulley.wire.messages import Announce, Report
 
 # Weight of the newest sample in a copy's rate: some five reports back.
-RATE_WEIGHT = 0.3
-UNKNOWN = "unknown"
+RATE_SMOOTHING = 0.3
+UNKNOWN_STATE = "unknown"
 
 
 class StatusRow(msgspec.Struct, frozen=True):
@@ -49,27 +49,27 @@
     nodes: tuple[StatusRow, ...]
 
 
-class Progress:
+class ReportedProgress:
     """One node's newest report and the rate of its copy."""
 
     def __init__(self, report: Report, now_ms: float):
         self.report = report
-        self.at_ms = now_ms
+        self.progressed_at_ms = now_ms
         self.bytes_per_ms = 0.0
 
-    def take(self, report: Report, now_ms: float) -> None:
+    def update(self, report: Report, now_ms: float) -> None:
         """Take the next report in."""
-        elapsed_ms = now_ms - self.at_ms
+        elapsed_ms = now_ms - self.progressed_at_ms
         copied = report.bytes_done - self.report.bytes_done
         if report.desired != self.report.desired or copied < 0:
             self.bytes_per_ms = 0.0
         elif copied and elapsed_ms > 0:
             rate = copied / elapsed_ms
             first = not self.bytes_per_ms
-            weight = 1.0 if first else RATE_WEIGHT
+            weight = 1.0 if first else RATE_SMOOTHING
             self.bytes_per_ms += weight * (rate - self.bytes_per_ms)
         if copied or report.desired != self.report.desired:
-            self.at_ms = now_ms
+            self.progressed_at_ms = now_ms
         self.report = report
 
     def remaining_s(self) -> float:
@@ -84,20 +84,20 @@
     """Newest report by node id."""
 
     def __init__(self):
-        self.progress: dict[str, Progress] = {}
+        self.progress: dict[str, ReportedProgress] = {}
 
     def update(self, report: Report, now_ms: float) -> bool:
         """Take a report in unless it is of an earlier incarnation."""
         known = self.progress.get(report.node_id)
         if known is None or report.incarnation > known.report.incarnation:
-            self.progress[report.node_id] = Progress(report, now_ms)
+            self.progress[report.node_id] = ReportedProgress(report, now_ms)
             return True
         if report.incarnation < known.report.incarnation:
             return False
-        known.take(report, now_ms)
+        known.update(report, now_ms)
         return True
 
-    def keep(self, members: Mapping[str, Announce]) -> None:
+    def prune(self, members: Mapping[str, Announce]) -> None:
         """Forget reports of nodes that are no members any more."""
         for name in set(self.progress) - set(members):
             del self.progress[name]
@@ -107,12 +107,12 @@
         for name, member in members.items():
             known = self.progress.get(name)
             if known is None or known.report.incarnation < member.incarnation:
-                yield silent_row(member)
+                yield unreported_row(member)
             else:
                 yield reported_row(known, member)
 
 
-def silent_row(member: Announce) -> StatusRow:
+def unreported_row(member: Announce) -> StatusRow:
     """Make the row of a member that has not reported since it started."""
     return StatusRow(
         member.node_id,
@@ -120,7 +120,7 @@
         member.service,
         member.failure_domain,
         0,
-        UNKNOWN,
+        UNKNOWN_STATE,
         "",
         "",
         0,
@@ -130,7 +130,7 @@
     )
 
 
-def reported_row(progress: Progress, member: Announce) -> StatusRow:
+def reported_row(progress: ReportedProgress, member: Announce) -> StatusRow:
     """Make the row of a member from its newest report."""
     report = progress.report
     return StatusRow(
--- a/src/wisteriapulley/control/seeds.py
+++ b/src/wisteriapulley/control/seeds.py
@@ -26,10 +26,10 @@
 from wisteriapulley.consensus.types import OBSERVER_PREFIX, Members
 from wisteriapulley.settings import ControlSettings
 
-FIRST_PREFIX = "first-"
+FOUNDER_PREFIX = "first-"
 
 
-def with_folder(settings: ControlSettings) -> ControlSettings:
+def ensure_data_folder(settings: ControlSettings) -> ControlSettings:
     """Give an instance without a disk a temporary folder, as an observer.
 
     Raises
@@ -46,7 +46,7 @@
     return msgspec.structs.replace(settings, data_folder=folder)
 
 
-def prepare_folder(settings: ControlSettings, files: Files | None = None) -> None:
+def ensure_identity(settings: ControlSettings, files: Files | None = None) -> None:
     """Give an empty data folder its identity; leave any other as it is.
 
     Parameters
@@ -69,20 +69,20 @@
     # acknowledged, since the log is opened after it.
     for name in (LOG_NAME, SNAPSHOT_NAME):
         (home / name).unlink(missing_ok=True)
-    write_identity(settings.data_folder, first_identity(settings), files or Files())
+    write_identity(settings.data_folder, initial_identity(settings), files or Files())
 
 
-def first_identity(settings: ControlSettings) -> DiskIdentity:
+def initial_identity(settings: ControlSettings) -> DiskIdentity:
     """Make the identity of an empty disk: a founder's, or a joining one's."""
     hosts = sorted(seed.host for seed in settings.seeds)
     if settings.found_with_seeds and settings.node_id in hosts:
-        members = Members({host: FIRST_PREFIX + host for host in hosts})
+        members = Members({host: FOUNDER_PREFIX + host for host in hosts})
         identity = members.voters[settings.node_id]
         return DiskIdentity(settings.node_id, identity, members)
     return DiskIdentity(settings.node_id, new_identity(), Members({}))
 
 
-def files_of(identity: DiskIdentity) -> Files:
+def file_operations(identity: DiskIdentity) -> Files:
     """Return the file operations for a folder: an observer's is temporary."""
     if identity.identity.startswith(OBSERVER_PREFIX):
         return VolatileFiles()
--- a/src/wisteriapulley/control/senders.py
+++ b/src/wisteriapulley/control/senders.py
@@ -25,10 +25,10 @@
             f"{role} may not send {type(command).__name__}",
         )
     if role == "sidecar" and isinstance(command, AcquirePermit | ReleasePermit):
-        check_own(command.target, link)
+        check_node_id(command.target, link)
 
 
-def check_own(node_id: str, link: Link) -> None:
+def check_node_id(node_id: str, link: Link) -> None:
     """Refuse what a peer says in the name of another.
 
     Raises
--- a/src/wisteriapulley/control/service.py
+++ b/src/wisteriapulley/control/service.py
@@ -19,25 +19,21 @@
     VersionResult,
     encode,
 )
-from wisteriapulley.control.driver import (
-    REPLICA_MESSAGES,
-    Driver,
-    no_quorum,
-)
+from wisteriapulley.control.control_api import ControlApi
+from wisteriapulley.control.driver import REPLICA_MESSAGES, Driver, no_quorum
 from wisteriapulley.control.fanout import MAX_BUFFERED_BYTES, Fanout
 from wisteriapulley.control.forward import forward
 from wisteriapulley.control.members import Changes, MemberTable
 from wisteriapulley.control.nearest import entries_in_fleet
-from wisteriapulley.control.news import News
 from wisteriapulley.control.operators import MAX_CHANGE_BYTES, operator_routes
-from wisteriapulley.control.orders import Orders
 from wisteriapulley.control.permits import PermitSweeper
 from wisteriapulley.control.pieces import PieceServer
+from wisteriapulley.control.publisher import Publisher
 from wisteriapulley.control.quorum_members import quorum_routes
 from wisteriapulley.control.rate_owner import RateOwner
 from wisteriapulley.control.reports import ReportTable
-from wisteriapulley.control.seeds import prepare_folder, with_folder
-from wisteriapulley.control.senders import check_own, check_sender
+from wisteriapulley.control.seeds import ensure_data_folder, ensure_identity
+from wisteriapulley.control.senders import check_node_id, check_sender
 from wisteriapulley.control.state import ControlState
 from wisteriapulley.control.suspect_store import SuspectStore
 from wisteriapulley.errors import ResultCode, WireError, WisteriapulleyError
@@ -51,11 +47,11 @@
 
 log = logging.getLogger(__name__)
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 # Changes that come together are told together.
-FLUSH_S = 0.01
+FLUSH_DELAY_S = 0.01
 # A target counts as gone when it stayed away so many member leases.
-GONE_LEASES = 2
+GONE_AFTER_LEASES = 2
 
 
 class ControlService(aiomisc.Service):
@@ -73,23 +69,25 @@
         self.metrics = Metrics(settings.node_id, "control")
         self.state = ControlState()
         self.reports = ReportTable()
-        self.attached: dict[str, Link] = {}
+        self.member_links: dict[str, Link] = {}
         self.peer_links: dict[str, Link] = {}
         self.operators = load_operators(settings.operators_file)
-        self.sweeper = PermitSweeper(GONE_LEASES * settings.member_lease_ms)
-        self.releasing: dict[str, asyncio.Task] = {}
-        self.flushing: asyncio.TimerHandle | None = None
+        self.permit_sweeper = PermitSweeper(
+            GONE_AFTER_LEASES * settings.member_lease_ms
+        )
+        self.release_tasks: dict[str, asyncio.Task] = {}
+        self.flush_timer: asyncio.TimerHandle | None = None
         # Makes the client of the weights' origin from its address; an adapter sets
         # it before the start, where the routing table names an origin.
         self.open_origin: Callable[[str], PieceSource] | None = None
-        self.entries = 0
-        self.orders = Orders(self)
+        self.entry_count = 0
+        self.api = ControlApi(self)
         self.rates = RateOwner(settings.node_id, self.open_peer_links)
-        self.news = News(
+        self.publisher = Publisher(
             settings,
             self.state,
             lambda *key: self.pieces.relay.prefetch(*key),
-            self.tell_peers,
+            self.send_to_peers,
         )
 
     @classmethod
@@ -99,7 +97,7 @@
 
     async def start(self) -> None:
         """Open the disk, listen, and join the peers."""
-        settings = self.settings = with_folder(self.settings)
+        settings = self.settings = ensure_data_folder(self.settings)
         self.identity = Identity.from_settings(settings, "control")
         self.members = MemberTable(
             settings.node_id,
@@ -107,33 +105,33 @@
             settings.member_lease_ms,
             settings.owner_grace_ms,
         )
-        self.settled_ms = steady_ms() + settings.member_lease_ms
-        self.settled = False
+        self.members_complete_at_ms = steady_ms() + settings.member_lease_ms
+        self.members_complete = False
         self.fanout = Fanout(
-            self.state.catalogue, self.members.view, lambda: self.settled
+            self.state.catalogue, self.members.view, lambda: self.members_complete
         )
         if settings.seeds:
-            prepare_folder(settings)
+            ensure_identity(settings)
         self.peers = {
-            peer.node_id: self.new_keeper(peer.address) for peer in settings.peers
+            peer.node_id: self.new_peer_keeper(peer.address) for peer in settings.peers
         }
         self.driver = Driver(
-            settings, self.state, self.peers, self.applied, self.fatal.set_exception
+            settings, self.state, self.peers, self.on_applied, self.fatal.set_exception
         )
-        self.news.driver = self.driver
+        self.publisher.driver = self.driver
         self.pieces = PieceServer(
-            settings, self.driver, self.news.origin, self.open_origin
+            settings, self.driver, self.publisher.origin, self.open_origin
         )
         await self.listen()
         for keeper in self.peers.values():
             keeper.start()
         self.add_hosts(seed.host for seed in settings.seeds)
-        self.news.restored()
-        self.news.suspects.restore(SuspectStore(Path(settings.data_folder)))
+        self.publisher.publish_restored()
+        self.publisher.suspect_feed.restore(SuspectStore(Path(settings.data_folder)))
         self.driver.start()
-        self.sweeping = asyncio.get_running_loop().create_task(self.sweep_loop())
+        self.sweep_task = asyncio.get_running_loop().create_task(self.sweep_loop())
 
-    def new_keeper(self, address: Address) -> ReconnectingLink:
+    def new_peer_keeper(self, address: Address) -> ReconnectingLink:
         """Make the keeper of the link to one peer."""
         return ReconnectingLink(
             [address],
@@ -141,7 +139,7 @@
             self.handle,
             self.heartbeat,
             self.settings,
-            self.greet_peer,
+            self.send_state_to_peer,
         )
 
     def add_hosts(self, hosts: Iterable[str]) -> None:
@@ -152,13 +150,13 @@
             if host == self.settings.node_id or host in self.peers:
                 continue
             port = self.settings.wire_listen.port
-            self.peers[host] = self.new_keeper(Address(host, port))
+            self.peers[host] = self.new_peer_keeper(Address(host, port))
             self.peers[host].start()
 
-    def tell_hosts(self) -> None:
+    def publish_hosts(self) -> None:
         """Meet new instances, and tell followers of them."""
-        if self.settings.seeds and self.news.flush_hosts():
-            self.add_hosts(self.news.told_hosts.hosts)
+        if self.settings.seeds and self.publisher.publish_hosts():
+            self.add_hosts(self.publisher.published_hosts.hosts)
 
     async def listen(self) -> None:
         """Open both listeners."""
@@ -181,9 +179,9 @@
         """Stop listening, then stop the replica."""
         # The lead is handed over while the links still are open.
         await self.driver.stop()
-        self.sweeping.cancel()
-        self.news.feed.stop()
-        for task in self.releasing.values():
+        self.sweep_task.cancel()
+        self.publisher.target_feed.stop()
+        for task in self.release_tasks.values():
             task.cancel()
         self.pieces.stop()
         await self.http.stop()
@@ -204,31 +202,33 @@
             False,
             state,
             routing_version=self.state.routing.version,
-            followers=self.news.followers.entries,
-            entries=self.entries,
+            followers=self.publisher.followers.entry_count,
+            entries=self.entry_count,
         )
 
-    def count_entries(self) -> None:
+    def update_entry_count(self) -> None:
         """Know how many entries there are, by what each instance says of its own."""
         links = self.open_peer_links().values()
         others = (link.peer_heartbeat.followers for link in links)
-        self.entries = entries_in_fleet([self.news.followers.entries, *others])
+        self.entry_count = entries_in_fleet(
+            [self.publisher.followers.entry_count, *others]
+        )
 
     # -- the replicated state --------------------------------------------
 
-    def applied(self, result: object) -> None:
+    def on_applied(self, result: object) -> None:
         """Tell watchers of a new revision, soon."""
         changed = isinstance(result, ChangeResult) and result.code == ResultCode.OK
         changed = changed or isinstance(result, VersionResult)
-        if changed and self.flushing is None:
+        if changed and self.flush_timer is None:
             loop = asyncio.get_running_loop()
-            self.flushing = loop.call_later(FLUSH_S, self.flush)
+            self.flush_timer = loop.call_later(FLUSH_DELAY_S, self.flush)
 
     def flush(self) -> None:
         """Send watchers what is due, also a revision that a snapshot brought."""
-        self.flushing = None
+        self.flush_timer = None
         self.fanout.flush()
-        self.news.flush()
+        self.publisher.publish_changes()
 
     async def propose(self, command: Command) -> bytes:
         """Commit a command, here or through the leader's link.
@@ -318,22 +318,22 @@
         self, message: messages.Announce, link: Link, frame: Frame
     ) -> None:
         """Handle the message `Announce`."""
-        check_own(message.node_id, link)
-        held = self.attached.get(message.node_id)
+        check_node_id(message.node_id, link)
+        held = self.member_links.get(message.node_id)
         if held is not None and held.peer.incarnation > link.peer.incarnation:
             log.warning("two processes announce %s", message.node_id)
             return
-        self.attached[message.node_id] = link
-        self.tell(self.members.announce(message))
+        self.member_links[message.node_id] = link
+        self.publish_member_changes(self.members.record_announcement(message))
 
     @receive.register
     async def receive_member_update(
         self, message: messages.MemberUpdate, link: Link, frame: Frame
     ) -> None:
         """Handle the message `MemberUpdate`, from its owner's newest link only."""
-        check_own(message.owner, link)
+        check_node_id(message.owner, link)
         if self.peer_links.get(message.owner) is link:
-            self.tell(self.members.update(message, steady_ms()))
+            self.publish_member_changes(self.members.apply_update(message, steady_ms()))
 
     @receive.register
     async def receive_report(
@@ -341,19 +341,19 @@
     ) -> None:
         """Handle the message `Report`: relayed ones never replace direct ones."""
         if link.peer.role == "control":
-            if message.node_id not in self.attached:
+            if message.node_id not in self.member_links:
                 self.reports.update(message, steady_ms())
             return
-        check_own(message.node_id, link)
+        check_node_id(message.node_id, link)
         if self.reports.update(message, steady_ms()):
-            self.tell_peers(message)
+            self.send_to_peers(message)
 
     @receive.register
     async def receive_follow(
         self, message: messages.Follow, link: Link, frame: Frame
     ) -> None:
         """Handle the message `Follow`."""
-        await self.news.answer_follow(message, link, frame)
+        await self.publisher.answer_follow(message, link, frame)
 
     @receive.register
     async def receive_manifest_query(
@@ -382,7 +382,7 @@
     ) -> None:
         """Handle the message `TargetNews` of another instance."""
         if link.peer.role == "control":
-            self.news.feed.told(message.targets)
+            self.publisher.target_feed.observe_peer_update(message.targets)
 
     @receive.register
     async def receive_models(
@@ -390,7 +390,7 @@
     ) -> None:
         """Handle the message `ModelNews` of another instance."""
         if link.peer.role == "control":
-            self.news.take_models(message)
+            self.publisher.observe_models(message)
 
     @receive.register
     async def receive_target_beats(
@@ -398,14 +398,14 @@
     ) -> None:
         """Handle the message `TargetBeats` of another instance."""
         if link.peer.role == "control":
-            self.news.feed.take_beats(message, link)
+            self.publisher.target_feed.observe_heartbeats(message, link)
 
     @receive.register
     async def receive_target_query(
         self, message: messages.TargetQuery, link: Link, frame: Frame
     ) -> None:
         """Handle the message `TargetQuery`."""
-        self.news.feed.answer(message, link)
+        self.publisher.target_feed.answer_query(message, link)
 
     @receive.register
     async def receive_suspects(
@@ -413,7 +413,7 @@
     ) -> None:
         """Handle the message `SuspectNews` of an entry or another instance."""
         if link.peer.role in ("control", "entry"):
-            self.news.suspects.take(message, link.peer.role == "entry")
+            self.publisher.suspect_feed.observe(message, link.peer.role == "entry")
 
     @receive.register
     async def receive_target_rate(
@@ -433,17 +433,17 @@
 
     # -- members ---------------------------------------------------------
 
-    async def greet_peer(self, link: Link) -> None:
+    async def send_state_to_peer(self, link: Link) -> None:
         """Tell a peer all members that this instance owns."""
-        self.news.met(link.peer)
+        self.publisher.record_peer(link.peer)
         link.post(self.members.full_update())
-        link.post(self.news.feed.all_news())
-        self.news.suspects.tell_all(link)
-        for node_id in self.attached:
+        link.post(self.publisher.target_feed.full_update())
+        self.publisher.suspect_feed.send_all(link)
+        for node_id in self.member_links:
             if node_id in self.reports.progress:
                 link.post(self.reports.progress[node_id].report)
 
-    def tell_peers(self, message: tuple) -> None:
+    def send_to_peers(self, message: tuple) -> None:
         """Send to every peer that has an open link.
 
         A peer whose link is stalled misses reports and beats; it gets them again
@@ -464,21 +464,21 @@
         links = {name: keeper.open_link for name, keeper in self.peers.items()}
         return {name: link for name, link in links.items() if link is not None}
 
-    def tell(self, changes: Changes) -> None:
+    def publish_member_changes(self, changes: Changes) -> None:
         """Tell peers of own members and watchers of the view."""
         if changes.own:
-            self.tell_peers(
+            self.send_to_peers(
                 messages.MemberUpdate(
                     self.settings.node_id, self.members.epoch, False, changes.own
                 )
             )
         if changes.view:
-            self.fanout.members_changed(changes.view)
+            self.fanout.publish_members(changes.view)
 
     def link_opened(self, link: Link) -> None:
         """Remember a peer's newest link."""
         if link.peer.role == "control":
-            self.news.met(link.peer)
+            self.publisher.record_peer(link.peer)
             self.peer_links[link.peer_id] = link
             self.driver.accepted_links[link.peer_id] = link
             self.add_hosts((link.peer_id,))
@@ -486,36 +486,36 @@
     def link_closed(self, link: Link) -> None:
         """Drop a watcher; members stay until their lease or grace ends."""
         self.fanout.remove(link)
-        self.news.followers.remove(link)
+        self.publisher.followers.remove(link)
         name = link.peer_id
         if self.peer_links.get(name) is link:
             del self.peer_links[name]
-            self.members.owner_lost(name, steady_ms())
-        if self.attached.get(name) is link:
-            del self.attached[name]
+            self.members.owner_disconnected(name, steady_ms())
+        if self.member_links.get(name) is link:
+            del self.member_links[name]
             self.members.detach(name, steady_ms())
 
     async def sweep_loop(self) -> None:
         """Drop what has ended, and send what stalled links could not take."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.sweep(steady_ms())
 
     def sweep(self, now_ms: float) -> None:
         """Drop members, reports and permits whose time has ended."""
-        if not self.settled and now_ms >= self.settled_ms:
-            self.settled = True
-            self.fanout.members_settled()
-        self.tell(self.members.sweep(now_ms))
-        self.reports.keep(self.members.view)
+        if not self.members_complete and now_ms >= self.members_complete_at_ms:
+            self.members_complete = True
+            self.fanout.schedule_full_updates()
+        self.publish_member_changes(self.members.sweep(now_ms))
+        self.reports.prune(self.members.view)
         self.release_permits(now_ms)
-        self.news.targets.sweep(now_ms)
-        self.news.feed.beat_if_due(now_ms)
-        self.news.suspects.sweep()
+        self.publisher.targets.sweep(now_ms)
+        self.publisher.target_feed.send_heartbeats_if_due(now_ms)
+        self.publisher.suspect_feed.sweep()
         self.rates.sweep()
-        self.count_entries()
-        self.tell_hosts()
-        if self.flushing is None:
+        self.update_entry_count()
+        self.publish_hosts()
+        if self.flush_timer is None:
             self.flush()
 
     def release_permits(self, now_ms: float) -> None:
@@ -525,15 +525,17 @@
         committed, and it names one permit, so a late one frees no newer.
         """
         if self.driver.own_lease() is None:
-            self.sweeper.reset()
+            self.permit_sweeper.reset()
             return
         for command in list(
-            self.sweeper.sweep(self.state.permits.permits, self.members.view, now_ms)
+            self.permit_sweeper.sweep(
+                self.state.permits.permits, self.members.view, now_ms
+            )
         ):
-            if command.target not in self.releasing:
+            if command.target not in self.release_tasks:
                 loop = asyncio.get_running_loop()
                 task = loop.create_task(self.release_permit(command))
-                self.releasing[command.target] = task
+                self.release_tasks[command.target] = task
 
     async def release_permit(self, command: ReleasePermit) -> None:
         """Commit one release; a lost one is proposed again by the next sweep."""
@@ -542,4 +544,4 @@
         except WisteriapulleyError as error:
             log.info("permit of %s not released: %s", command.target, error)
         finally:
-            self.releasing.pop(command.target, None)
+            self.release_tasks.pop(command.target, None)
--- a/src/wisteriapulley/control/suspect_feed.py
+++ b/src/wisteriapulley/control/suspect_feed.py
@@ -13,10 +13,10 @@
 # on in a second, and at once. Load: hundreds of targets end together, under
 # thousands of requests. Harm prevented: each of these would be told to each entry.
 # One that goes on ending targets is told in any case.
-FIRST_PER_S = 100.0
-FIRST_AT_ONCE = 300.0
+NEW_SUSPECTS_PER_S = 100.0
+NEW_SUSPECTS_BURST = 300.0
 # Targets that ended under a request of which news are bounded so.
-FIRST = 1
+MAX_RATE_LIMITED_ENDS = 1
 
 
 class SuspectFeed:
@@ -37,19 +37,19 @@
         Where quarantined requests are kept; set once there is a data folder.
     """
 
-    def __init__(self, followers: Followers, tell_peers: Callable[[tuple], None]):
+    def __init__(self, followers: Followers, send_to_peers: Callable[[tuple], None]):
         self.followers = followers
-        self.tell_peers = tell_peers
+        self.send_to_peers = send_to_peers
         self.suspects = CrashSuspects()
         self.store: SuspectStore | None = None
-        self.first = TokenBucket(FIRST_PER_S, FIRST_AT_ONCE)
+        self.new_suspects = TokenBucket(NEW_SUSPECTS_PER_S, NEW_SUSPECTS_BURST)
 
     def restore(self, store: SuspectStore) -> None:
         """Take in what the disk holds, and keep it there from now on."""
         self.store = store
         self.suspects.merge_updates(store.load(), steady_s())
 
-    def take(self, news: messages.SuspectNews, from_entry: bool) -> None:
+    def observe(self, message: messages.SuspectNews, from_entry: bool) -> None:
         """Take news in, and pass on what was not known.
 
         Parameters
@@ -61,34 +61,36 @@
             entry tells them all itself.
         """
         before = self.suspects.quarantined()
-        changed = self.suspects.merge_updates(news.suspects, steady_s())
-        told = self.news(filter(self.may_pass, changed))
+        changed = self.suspects.merge_updates(message.suspects, steady_s())
+        told = self.message_for(filter(self.may_forward, changed))
         if told.suspects:
             self.followers.push_suspects(told)
             if from_entry:
-                self.tell_peers(told)
+                self.send_to_peers(told)
         if before != self.suspects.quarantined():
-            self.keep()
+            self.save()
 
-    def may_pass(self, digest: bytes) -> bool:
+    def may_forward(self, digest: bytes) -> bool:
         """Tell whether news of a request go on to others."""
         record = self.suspects.records.get(digest)
         if record is None:
             return False
-        return len(record.ended) > FIRST or self.first.take(steady_s())
+        return len(record.ended) > MAX_RATE_LIMITED_ENDS or self.new_suspects.take(
+            steady_s()
+        )
 
-    def keep(self) -> None:
+    def save(self) -> None:
         """Write the quarantined requests."""
         if self.store is not None:
-            self.store.save(self.news(self.suspects.quarantined()).suspects)
+            self.store.save(self.message_for(self.suspects.quarantined()).suspects)
 
-    def news(self, digests: Iterable[bytes]) -> messages.SuspectNews:
+    def message_for(self, digests: Iterable[bytes]) -> messages.SuspectNews:
         """Make the news of some requests."""
         return messages.SuspectNews(tuple(self.suspects.updates(steady_s(), digests)))
 
-    def tell_all(self, link: Link) -> None:
+    def send_all(self, link: Link) -> None:
         """Tell a new link what it needs to know."""
-        news = self.news(self.suspects.top_suspects())
+        news = self.message_for(self.suspects.top_suspects())
         if news.suspects:
             link.post(news)
 
--- a/src/wisteriapulley/control/suspect_store.py
+++ b/src/wisteriapulley/control/suspect_store.py
@@ -17,7 +17,7 @@
 FILE_NAME = "quarantined"
 
 
-class Stored(msgspec.Struct, frozen=True, array_like=True):
+class StoredSuspect(msgspec.Struct, frozen=True, array_like=True):
     """One request on disk; see `wire.messages.Suspect`.
 
     `at_s` is the Unix time at which the last target ended.
@@ -47,14 +47,14 @@
     def __init__(self, folder: Path, files: Files | None = None):
         self.path = folder / FILE_NAME
         self.files = files or Files()
-        self.wanted: bytes | None = None
-        self.writing: asyncio.Task | None = None
+        self.pending_content: bytes | None = None
+        self.write_task: asyncio.Task | None = None
 
     def load(self) -> tuple[Suspect, ...]:
         """Read what is on the disk; nothing where it can't be read."""
         try:
             stored = msgspec.msgpack.decode(
-                self.path.read_bytes(), type=tuple[Stored, ...]
+                self.path.read_bytes(), type=tuple[StoredSuspect, ...]
             )
         except FileNotFoundError:
             return ()
@@ -71,19 +71,22 @@
         """Write soon; while one write goes on, only the newest content waits."""
         now_s = time.time()
         stored = tuple(
-            Stored(s.digest, s.cleared, s.ended, now_s - s.age_s) for s in suspects
+            StoredSuspect(s.digest, s.cleared, s.ended, now_s - s.age_s)
+            for s in suspects
         )
-        self.wanted = msgspec.msgpack.encode(stored)
-        if self.writing is None:
-            self.writing = asyncio.get_running_loop().create_task(self.write_all())
+        self.pending_content = msgspec.msgpack.encode(stored)
+        if self.write_task is None:
+            self.write_task = asyncio.get_running_loop().create_task(
+                self.write_pending()
+            )
 
-    async def write_all(self) -> None:
+    async def write_pending(self) -> None:
         """Write until nothing newer waits; a disk that stalls blocks nobody."""
         try:
-            while self.wanted is not None:
-                data, self.wanted = self.wanted, None
+            while self.pending_content is not None:
+                data, self.pending_content = self.pending_content, None
                 await asyncio.to_thread(self.files.replace, self.path, data)
         except (OSError, StorageError) as error:
             log.error("quarantined requests not written: %s: %s", self.path, error)
         finally:
-            self.writing = None
+            self.write_task = None
--- a/src/wisteriapulley/control/target_feed.py
+++ b/src/wisteriapulley/control/target_feed.py
@@ -19,10 +19,10 @@
 
 # What changes within this time goes out together: far below the time in which a
 # leaving target must have no new work, and long enough for a burst of starts.
-BATCH_S = 0.02
+BATCH_DELAY_S = 0.02
 # How often followers hear which targets are still there: below the silence after
 # which they take the control instances for away.
-BEATS_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 
 
 class TargetFeed:
@@ -42,74 +42,74 @@
         self,
         targets: TargetTable,
         followers: Followers,
-        tell_peers: Callable[[tuple], None],
+        send_to_peers: Callable[[tuple], None],
     ):
         self.targets = targets
         self.followers = followers
-        self.tell_peers = tell_peers
-        self.for_followers: dict[str, Change] = {}
-        self.for_peers: set[str] = set()
-        self.flushing: asyncio.TimerHandle | None = None
-        self.beats_ms = steady_ms()
+        self.send_to_peers = send_to_peers
+        self.pending_for_followers: dict[str, Change] = {}
+        self.pending_for_peers: set[str] = set()
+        self.flush_timer: asyncio.TimerHandle | None = None
+        self.last_heartbeats_ms = steady_ms()
 
     # -- changes ---------------------------------------------------------
 
-    def announced(self, state: TargetState) -> Change:
+    def observe_announcement(self, state: TargetState) -> Change:
         """Take in what a target announces here."""
         change = self.targets.update(state, steady_ms())
         if change:
-            self.for_peers.add(state.target_id)
-            self.changed(state.target_id, change)
+            self.pending_for_peers.add(state.target_id)
+            self.queue_change(state.target_id, change)
         return change
 
-    def ended(self, target_id: str) -> TargetState:
+    def record_end(self, target_id: str) -> TargetState:
         """Take in a target's word that it ends; return the news of it."""
         state = self.targets.mark_gone(target_id, steady_ms())
-        self.for_peers.add(target_id)
-        self.changed(target_id, Change.MEMBERSHIP)
+        self.pending_for_peers.add(target_id)
+        self.queue_change(target_id, Change.MEMBERSHIP)
         return state
 
-    def told(self, states: Iterable[TargetState]) -> None:
+    def observe_peer_update(self, states: Iterable[TargetState]) -> None:
         """Take in what another instance tells."""
         now_ms = steady_ms()
         for state in states:
             change = self.targets.update(state, now_ms, direct=False)
             if change:
-                self.changed(state.target_id, change)
+                self.queue_change(state.target_id, change)
 
-    def changed(self, target_id: str, change: Change) -> None:
+    def queue_change(self, target_id: str, change: Change) -> None:
         """Tell of a target with all that changes in these milliseconds."""
-        known = self.for_followers.get(target_id, Change.NONE)
-        self.for_followers[target_id] = max(known, change)
-        if self.flushing is None:
+        known = self.pending_for_followers.get(target_id, Change.NONE)
+        self.pending_for_followers[target_id] = max(known, change)
+        if self.flush_timer is None:
             loop = asyncio.get_running_loop()
-            self.flushing = loop.call_later(BATCH_S, self.flush)
+            self.flush_timer = loop.call_later(BATCH_DELAY_S, self.flush)
 
     def flush(self) -> None:
         """Send what changed."""
-        self.flushing = None
-        changes, self.for_followers = self.for_followers, {}
-        peers, self.for_peers = self.for_peers, set()
+        self.flush_timer = None
+        changes, self.pending_for_followers = self.pending_for_followers, {}
+        peers, self.pending_for_peers = self.pending_for_peers, set()
         now_ms = steady_ms()
         self.followers.push_targets(self.targets.states(now_ms, changes), changes)
         states = tuple(self.targets.states(now_ms, peers))
         if states:
-            self.tell_peers(messages.TargetNews(states))
+            self.send_to_peers(messages.TargetNews(states))
 
     # -- what still is there ---------------------------------------------
 
-    def beat_if_due(self, now_ms: float) -> None:
+    def send_heartbeats_if_due(self, now_ms: float) -> None:
         """Tell once a second which targets were heard again."""
-        since_ms = self.beats_ms
-        if now_ms - since_ms < BEATS_S * 1000:
+        since_ms = self.last_heartbeats_ms
+        if now_ms - since_ms < HEARTBEAT_INTERVAL_S * 1000:
             return
-        self.beats_ms = now_ms
-        self.followers.push_beats(tuple(self.targets.heartbeats(now_ms, since_ms)))
+        self.last_heartbeats_ms = now_ms
+        self.followers.push_heartbeats(tuple(self.targets.heartbeats(now_ms, since_ms)))
         direct = tuple(self.targets.heartbeats(now_ms, since_ms, direct_only=True))
         if direct:
-            self.tell_peers(TargetBeats(direct))
+            self.send_to_peers(TargetBeats(direct))
 
-    def take_beats(self, message: TargetBeats, link: Link) -> None:
+    def observe_heartbeats(self, message: TargetBeats, link: Link) -> None:
         """Take in which targets another instance heard; ask for missed news."""
         now_ms = steady_ms()
         missed = [
@@ -120,17 +120,17 @@
         if missed:
             link.post(TargetQuery(tuple(missed)))
 
-    def answer(self, query: TargetQuery, link: Link) -> None:
+    def answer_query(self, query: TargetQuery, link: Link) -> None:
         """Answer with the news of some targets."""
         states = tuple(self.targets.states(steady_ms(), query.target_ids))
         if states:
             link.post(messages.TargetNews(states))
 
-    def all_news(self) -> messages.TargetNews:
+    def full_update(self) -> messages.TargetNews:
         """Make the news of all targets known here."""
         return messages.TargetNews(tuple(self.targets.states(steady_ms())))
 
     def stop(self) -> None:
         """Send nothing more."""
-        if self.flushing is not None:
-            self.flushing.cancel()
+        if self.flush_timer is not None:
+            self.flush_timer.cancel()
--- a/src/wisteriapulley/entry/service.py
+++ b/src/wisteriapulley/entry/service.py
@@ -131,11 +131,11 @@
 
     def is_ready(self) -> bool:
         """Return whether the catalogue is confirmed and the entry is not leaving."""
-        return self.control.holder.confirmed and not self.leaving
+        return self.control.catalogue.confirmed and not self.leaving
 
     def heartbeat(self) -> messages.Heartbeat:
         """Return this entry's heartbeat."""
-        return messages.Heartbeat(self.control.holder.revision, self.leaving, "open")
+        return messages.Heartbeat(self.control.catalogue.revision, self.leaving, "open")
 
     def members_changed(self) -> None:
         """Update the links after the member list changed."""
@@ -147,7 +147,7 @@
             messages.Report(
                 node_id=self.settings.node_id,
                 failure_domain=self.settings.failure_domain,
-                revision=self.control.holder.revision,
+                revision=self.control.catalogue.revision,
                 state="open",
                 role="entry",
                 incarnation=self.incarnation,
@@ -157,7 +157,7 @@
     async def handle(self, link: Link, frame: Frame) -> None:
         """Send the catalogue to a target that is behind; reject other messages."""
         if isinstance(frame.message, messages.Watch):
-            link.post(self.control.holder.update(), reply_to=frame.id)
+            link.post(self.control.catalogue.to_update(), reply_to=frame.id)
             return
         raise WireError(
             ResultCode.UNEXPECTED_MESSAGE,
@@ -176,7 +176,7 @@
         try:
             self.check_ready()
             body = await body_buffer.read(request)
-            entries = self.control.holder.image.entries
+            entries = self.control.catalogue.image.entries
             caller = parse_request(request, body, entries)
             return await self.answer(request, caller, started_s)
         except WisteriapulleyError as error:
@@ -310,7 +310,7 @@
             "request ended",
             extra=fields(
                 caller.request_id if caller is not None else "",
-                self.control.holder.revision,
+                self.control.catalogue.revision,
                 code,
                 account=account,
                 traffic_class=kind,
--- a/src/wisteriapulley/entry/targets.py
+++ b/src/wisteriapulley/entry/targets.py
@@ -208,7 +208,7 @@
         if target is not None:
             target.in_flight_at_report = target.peak
             target.peak = target.in_flight
-        self.control.heard(link)
+        self.control.pull_if_behind(link)
 
     def views(
         self, entry: Entry, avoid: Container[str] = (), version: str = ""
--- a/src/wisteriapulley/platform/control_calls.py
+++ b/src/wisteriapulley/platform/control_calls.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from wisteriapulley.control.orders import Orders
+from wisteriapulley.control.control_api import ControlApi
 from wisteriapulley.errors import (
     CatalogueError,
     ResultCode,
@@ -32,9 +32,9 @@
 
 
 class ControlCalls:
-    """Serves the platform's calls through a control instance's `Orders`."""
+    """Serves the platform's calls through a control instance's `ControlApi`."""
 
-    def __init__(self, orders: Orders):
+    def __init__(self, orders: ControlApi):
         self.orders = orders
         app = web.Application(middlewares=[map_errors], client_max_size=MAX_BODY_BYTES)
         app.add_routes(
@@ -84,18 +84,18 @@
     async def set_desired_version(self, request: web.Request) -> web.Response:
         """Set the desired version of a model's weights."""
         wire = decode_weights(await request.read())
-        await self.orders.name_weights(wire.model, wire.version)
+        await self.orders.set_desired_version(wire.model, wire.version)
         return ack_response()
 
     async def heartbeat(self, request: web.Request) -> web.Response:
         """Record a heartbeat of a target."""
         target_id = request.match_info["target_id"]
-        self.orders.heard(decode_heartbeat(target_id, await request.read()))
+        self.orders.observe_target(decode_heartbeat(target_id, await request.read()))
         return ack_response()
 
     async def leave(self, request: web.Request) -> web.Response:
         """Record that a target is shutting down."""
-        self.orders.left(request.match_info["target_id"])
+        self.orders.remove_target(request.match_info["target_id"])
         return ack_response()
 
 
--- a/src/wisteriapulley/platform/daemons.py
+++ b/src/wisteriapulley/platform/daemons.py
@@ -36,7 +36,7 @@
             self.client = HttpClient()
             self.open_origin = lambda address: HttpOrigin(self.client, address)
             await super().start()
-            self.calls = ControlCalls(self.orders)
+            self.calls = ControlCalls(self.api)
             await self.calls.start(
                 Address.from_text(settings.listen_addresses.control_plane)
             )
--- a/src/wisteriapulley/sidecar/service.py
+++ b/src/wisteriapulley/sidecar/service.py
@@ -94,7 +94,7 @@
             self.swarm,
             self.handle,
             self.heartbeat,
-            self.control.heard,
+            self.control.pull_if_behind,
             self.meter,
         )
         await self.listen()
@@ -167,7 +167,7 @@
     def heartbeat(self) -> messages.Heartbeat:
         """Return this sidecar's heartbeat."""
         return messages.Heartbeat(
-            self.control.holder.revision,
+            self.control.catalogue.revision,
             self.leaving,
             self.chart.state,
             self.gate.version,
@@ -203,7 +203,7 @@
                 self.settings.node_id,
                 self.settings.service,
                 self.settings.failure_domain,
-                self.control.holder.revision,
+                self.control.catalogue.revision,
                 self.chart.state,
                 self.gate.version,
                 entry.version if entry is not None else "",
@@ -299,4 +299,4 @@
         self, message: messages.Watch, link: Link, frame: Frame
     ) -> None:
         """Handle the message `Watch`."""
-        link.post(self.control.holder.update(), reply_to=frame.id)
+        link.post(self.control.catalogue.to_update(), reply_to=frame.id)
--- a/src/wisteriapulley/sidecar/switch.py
+++ b/src/wisteriapulley/sidecar/switch.py
@@ -125,7 +125,7 @@
 
     def desired_entry(self) -> Entry | None:
         """Return the catalogue entry of this target's service."""
-        entries = self.control.holder.by_service.get(self.settings.service)
+        entries = self.control.catalogue.by_service.get(self.settings.service)
         return entries[0] if entries else None
 
     async def run(self) -> None:
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -6,10 +6,18 @@
 import pytest
 
 from wisteriapulley.catalogue.catalogue import CatalogueImage
-from wisteriapulley.control.client import ISOLATED_S, ISOLATED_STATE, ControlClient
+from wisteriapulley.control.client import (
+    ISOLATED_STATE,
+    ISOLATED_TIMEOUT_S,
+    ControlClient,
+)
 from wisteriapulley.control.commands import ReleasePermit
 from wisteriapulley.control.driver import no_quorum
-from wisteriapulley.control.forward import FORWARD_S, LEADER_CHECK_S, forward
+from wisteriapulley.control.forward import (
+    FORWARD_TIMEOUT_S,
+    LEADER_CHECK_INTERVAL_S,
+    forward,
+)
 from wisteriapulley.errors import ResultCode, WireError, WisteriapulleyError
 from wisteriapulley.settings import Address, EntrySettings
 from wisteriapulley.wire import LinkServer, messages
@@ -102,24 +110,24 @@
         instance = Instance("c1", 1, True)
 
         async def scenario(client):
-            await until(lambda: client.holder.revision == 1)
+            await until(lambda: client.catalogue.revision == 1)
             instance.image = CatalogueImage(2, {})
-            await until(lambda: client.holder.revision == 2)
+            await until(lambda: client.catalogue.revision == 2)
 
         run(scenario, instance)
 
     def test_leaves_an_isolated_instance_for_another(self, monkeypatch):
         monkeypatch.setattr(
-            "wisteriapulley.control.client.ISOLATED_S", ISOLATED_S / 100
+            "wisteriapulley.control.client.ISOLATED_TIMEOUT_S", ISOLATED_TIMEOUT_S / 100
         )
         isolated, healthy = Instance("c1", 9, False), Instance("c2", 5, True)
         isolated.state = ISOLATED_STATE
 
         async def scenario(client):
-            await until(lambda: client.holder.confirmed)
-            assert client.holder.revision == 5
+            await until(lambda: client.catalogue.confirmed)
+            assert client.catalogue.revision == 5
             assert client.keeper.link.peer_id == "c2"
-            await until(lambda: client.patience_s == ISOLATED_S / 100)
+            await until(lambda: client.isolated_timeout_s == ISOLATED_TIMEOUT_S / 100)
 
         run(scenario, isolated, healthy)
 
@@ -154,4 +162,4 @@
         link = Unanswered()
         with pytest.raises(WireError):
             asyncio.run(forward(link, messages.Propose(), lambda: True))
-        assert link.waits == int(FORWARD_S / LEADER_CHECK_S)
+        assert link.waits == int(FORWARD_TIMEOUT_S / LEADER_CHECK_INTERVAL_S)
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -6,7 +6,7 @@
 
 from wisteriapulley.catalogue import Catalogue, Change, Entry, Put
 from wisteriapulley.catalogue.catalogue import CatalogueImage
-from wisteriapulley.control.client import CatalogueHolder
+from wisteriapulley.control.client import LocalCatalogue
 from wisteriapulley.control.fanout import MAX_BUFFERED_BYTES, Fanout
 from wisteriapulley.control.reports import ReportTable
 from wisteriapulley.wire.messages import Announce, CatalogueUpdate, Report
@@ -48,7 +48,7 @@
         link.buffered = MAX_BUFFERED_BYTES
         for number in range(50):
             accept(catalogue, number)
-            fanout.members_changed([Announce("t2")])
+            fanout.publish_members([Announce("t2")])
             fanout.flush()
         assert len(link.posted) == 1
         link.buffered = 0
@@ -61,8 +61,8 @@
         catalogue, fanout, link = self.filled()
         accept(catalogue, 1)
         fanout.flush()
-        holder = CatalogueHolder()
-        assert not holder.offer(link.updates()[0])
+        holder = LocalCatalogue()
+        assert not holder.apply_update(link.updates()[0])
         assert (holder.confirmed, holder.revision) == (False, 0)
 
     def test_unsettled_instance_makes_no_watcher_forget(self):
@@ -81,17 +81,17 @@
         return CatalogueUpdate(revision, fresh, content)
 
     def test_revision_never_goes_down(self):
-        holder = CatalogueHolder()
-        assert holder.offer(self.update(5, True))
-        assert not holder.offer(self.update(4, True))
-        assert holder.offer(self.update(6, False))
+        holder = LocalCatalogue()
+        assert holder.apply_update(self.update(5, True))
+        assert not holder.apply_update(self.update(4, True))
+        assert holder.apply_update(self.update(6, False))
         assert holder.revision == 6
 
     def test_restarted_node_takes_nothing_from_an_isolated_instance(self):
-        holder = CatalogueHolder()
-        assert not holder.offer(self.update(5, False))
+        holder = LocalCatalogue()
+        assert not holder.apply_update(self.update(5, False))
         assert (holder.revision, holder.confirmed) == (0, False)
-        assert holder.offer(self.update(9, True))
+        assert holder.apply_update(self.update(9, True))
 
 
 class TestReportTable:
@@ -121,7 +121,7 @@
     def test_silent_member_has_a_row_and_a_gone_one_none(self):
         table = ReportTable()
         table.update(self.report(), 0)
-        table.keep({"u": Announce("u", 1)})
+        table.prune({"u": Announce("u", 1)})
         rows = list(table.rows({"u": Announce("u", 1)}))
         assert [(row.node_id, row.state) for row in rows] == [("u", "unknown")]
         assert table.progress == {}
--- a/tests/test_control_news.py
+++ b/tests/test_control_publisher.py
@@ -1,7 +1,7 @@
 """What a control instance tells of weights that are in force."""
 
 from tests.fakes.links import WrittenLink
-from wisteriapulley.control.news import News
+from wisteriapulley.control.publisher import Publisher
 from wisteriapulley.control.state import ControlState
 from wisteriapulley.routing import Engine, RoutingTable
 from wisteriapulley.routing.table import Service
@@ -26,7 +26,7 @@
         self.fetched = []
         self.told = []
         self.state = ControlState()
-        self.news = News(
+        self.news = Publisher(
             settings,
             self.state,
             lambda *key: self.fetched.append(key),
@@ -56,33 +56,33 @@
     def test_word_of_another_instance_comes_before_the_own_log(self):
         """Load: the log is late behind copies; requests begin on replaced weights."""
         instance = Instance()
-        instance.news.take_models(news_of(3, age_ms=40))
+        instance.news.observe_models(news_of(3, age_ms=40))
         assert instance.named() == [3]
         assert instance.fetched == [("m", 3)]
         assert instance.told == []
 
     def test_own_log_brings_no_second_word(self):
         instance = Instance()
-        instance.news.take_models(news_of(3))
+        instance.news.observe_models(news_of(3))
         instance.state.weights["m"] = 3
-        instance.news.flush()
+        instance.news.publish_changes()
         assert instance.fetched == [("m", 3)]
         since = dict(instance.news.versions.versions_of("m"))
-        instance.news.take_models(news_of(3))
+        instance.news.observe_models(news_of(3))
         assert dict(instance.news.versions.versions_of("m"))[3] <= since[3]
         assert set(instance.named()) == {3}
 
     def test_what_the_own_log_brings_is_told_to_the_others(self):
         instance = Instance()
         instance.state.weights["m"] = 2
-        instance.news.flush()
+        instance.news.publish_changes()
         (told,) = instance.told
         assert told.models[0].named[0].version == 2
         assert instance.named() == [2]
 
     def test_older_word_changes_nothing(self):
         instance = Instance()
-        instance.news.take_models(news_of(3))
+        instance.news.observe_models(news_of(3))
         instance.link.taken.clear()
-        instance.news.take_models(news_of(3, age_ms=500))
+        instance.news.observe_models(news_of(3, age_ms=500))
         assert instance.link.taken == []
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -101,7 +101,7 @@
         serve(scenario)
 
     def test_pieces_are_drawn_ahead_of_newcomers(self, monkeypatch):
-        monkeypatch.setattr(pieces_module, "DRAW_AHEAD_S", 0.0)
+        monkeypatch.setattr(pieces_module, "PREFETCH_DELAY_S", 0.0)
 
         async def scenario(server, origin):
             await ask_manifest(server)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from wisteriapulley.control.commands import PutRouting, PutWeights, encode
-from wisteriapulley.control.orders import pack_table, unpack_table
+from wisteriapulley.control.control_api import pack_table, unpack_table
 from wisteriapulley.control.state import ControlState
 from wisteriapulley.errors import CatalogueError, ResultCode
 from wisteriapulley.platform.documents import (
--- a/tests/test_suspect_feed.py
+++ b/tests/test_suspect_feed.py
@@ -7,7 +7,7 @@
 from tests.fakes.links import WrittenLink
 from wisteriapulley.consensus.files import Files
 from wisteriapulley.control.followers import Followers
-from wisteriapulley.control.suspect_feed import FIRST_AT_ONCE, SuspectFeed
+from wisteriapulley.control.suspect_feed import NEW_SUSPECTS_BURST, SuspectFeed
 from wisteriapulley.control.suspect_store import FILE_NAME, SuspectStore
 from wisteriapulley.errors import ResultCode, StorageError
 from wisteriapulley.regions import Regions
@@ -33,39 +33,39 @@
 class TestSuspectFeed:
     def test_entry_is_heard_by_all_entries_and_instances(self):
         instance = Instance()
-        instance.feed.take(ONCE, from_entry=True)
+        instance.feed.observe(ONCE, from_entry=True)
         assert instance.told == [ONCE]
         assert instance.entry.taken == [ONCE]
         assert not instance.sidecar.taken
 
     def test_other_instance_is_heard_by_entries_only(self):
         instance = Instance()
-        instance.feed.take(ONCE, from_entry=False)
+        instance.feed.observe(ONCE, from_entry=False)
         assert instance.told == []
         assert instance.entry.taken == [ONCE]
 
     def test_what_is_known_goes_no_further(self):
         instance = Instance()
         for _ in range(3):
-            instance.feed.take(ONCE, from_entry=True)
+            instance.feed.observe(ONCE, from_entry=True)
         assert len(instance.told) == len(instance.entry.taken) == 1
 
     def test_new_link_is_told_all(self):
         instance, link = Instance(), WrittenLink("entry")
-        instance.feed.tell_all(link)
+        instance.feed.send_all(link)
         assert link.taken == []
-        instance.feed.take(QUARANTINED, from_entry=True)
-        instance.feed.tell_all(link)
+        instance.feed.observe(QUARANTINED, from_entry=True)
+        instance.feed.send_all(link)
         assert link.taken == [QUARANTINED]
 
     def test_many_targets_that_end_together_do_not_flood_entries(self):
         """Load: hundreds of targets end, under thousands of requests."""
         instance = Instance()
-        for number in range(4 * int(FIRST_AT_ONCE)):
+        for number in range(4 * int(NEW_SUSPECTS_BURST)):
             suspect = Suspect(number.to_bytes(16, "little"), 0, ("a",))
-            instance.feed.take(SuspectNews((suspect,)), from_entry=True)
-        assert len(instance.entry.taken) < 2 * FIRST_AT_ONCE
-        instance.feed.take(QUARANTINED, from_entry=True)
+            instance.feed.observe(SuspectNews((suspect,)), from_entry=True)
+        assert len(instance.entry.taken) < 2 * NEW_SUSPECTS_BURST
+        instance.feed.observe(QUARANTINED, from_entry=True)
         assert instance.entry.taken[-1] == QUARANTINED
 
 
@@ -76,9 +76,9 @@
         async def run():
             feed = Instance().feed
             feed.restore(SuspectStore(folder, files))
-            feed.take(QUARANTINED, from_entry=True)
-            feed.take(SuspectNews((Suspect(b"o" * 16, 0, ("a",)),)), from_entry=True)
-            while feed.store.writing is not None:
+            feed.observe(QUARANTINED, from_entry=True)
+            feed.observe(SuspectNews((Suspect(b"o" * 16, 0, ("a",)),)), from_entry=True)
+            while feed.store.write_task is not None:
                 await asyncio.sleep(0.001)
             return feed
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -32,7 +32,7 @@
     """Control client of the version switcher, without control instances."""
 
     def __init__(self):
-        self.holder = SimpleNamespace(by_service={}, revision=1)
+        self.catalogue = SimpleNamespace(by_service={}, revision=1)
         self.unreachable = False
         self.lease_ms = 500
         self.lease_delay_s = 0.0
@@ -48,7 +48,7 @@
             service="s",
             role="serve",
         )
-        self.holder.by_service = {"s": [entry]}
+        self.catalogue.by_service = {"s": [entry]}
 
     async def propose(self, command):
         if self.unreachable:
--- a/tests/test_target_feed.py
+++ b/tests/test_target_feed.py
@@ -8,7 +8,11 @@
 from tests.fakes.links import WrittenLink
 from wisteriapulley.control import target_feed
 from wisteriapulley.control.followers import Followers
-from wisteriapulley.control.target_feed import BATCH_S, BEATS_S, TargetFeed
+from wisteriapulley.control.target_feed import (
+    BATCH_DELAY_S,
+    HEARTBEAT_INTERVAL_S,
+    TargetFeed,
+)
 from wisteriapulley.control.targets import Change, TargetTable
 from wisteriapulley.direct.registry import HEARTBEAT_TIMEOUT_S, TargetRegistry
 from wisteriapulley.regions import Regions
@@ -53,8 +57,8 @@
         async def scenario(instance):
             entry, sidecar = instance.follower("entry"), instance.follower("sidecar")
             for number in range(60):
-                instance.feed.announced(state(number))
-            await asyncio.sleep(2 * BATCH_S)
+                instance.feed.observe_announcement(state(number))
+            await asyncio.sleep(2 * BATCH_DELAY_S)
             for link in (entry, sidecar):
                 (update,) = link.taken
                 assert len(update.targets) == 60
@@ -65,11 +69,14 @@
 
     def test_version_changes_are_not_sent_to_sidecars(self, monkeypatch):
         async def scenario(instance):
-            instance.feed.announced(state(1))
-            await asyncio.sleep(2 * BATCH_S)
+            instance.feed.observe_announcement(state(1))
+            await asyncio.sleep(2 * BATCH_DELAY_S)
             entry, sidecar = instance.follower("entry"), instance.follower("sidecar")
-            assert instance.feed.announced(state(1, 2, version=2)) is Change.STATE
-            await asyncio.sleep(2 * BATCH_S)
+            assert (
+                instance.feed.observe_announcement(state(1, 2, version=2))
+                is Change.STATE
+            )
+            await asyncio.sleep(2 * BATCH_DELAY_S)
             assert entry.taken[0].targets[0].version == 2
             assert sidecar.taken == []
 
@@ -80,16 +87,16 @@
 
         async def scenario(instance):
             for number in range(100):
-                instance.feed.announced(state(number))
-            await asyncio.sleep(2 * BATCH_S)
+                instance.feed.observe_announcement(state(number))
+            await asyncio.sleep(2 * BATCH_DELAY_S)
             links = [instance.follower("entry") for _ in range(38)]
             instance.sent_to_peers.clear()
             for second in range(1, 11):
-                instance.now_ms = second * BEATS_S * 1000
+                instance.now_ms = second * HEARTBEAT_INTERVAL_S * 1000
                 for number in range(100):
-                    instance.feed.announced(state(number, 1 + second))
+                    instance.feed.observe_announcement(state(number, 1 + second))
                 await asyncio.sleep(0)
-                instance.feed.beat_if_due(instance.now_ms)
+                instance.feed.send_heartbeats_if_due(instance.now_ms)
             assert [len(link.taken) for link in links] == [10] * 38
             assert len(instance.sent_to_peers) == 10
 
@@ -97,14 +104,14 @@
 
     def test_updates_of_other_instances_are_not_sent_back(self, monkeypatch):
         async def scenario(instance):
-            instance.feed.told([state(1)])
+            instance.feed.observe_peer_update([state(1)])
             instance.now_ms = 1000.0
             heartbeat = messages.TargetBeat("i-1", 0, 1, False, 10)
-            instance.feed.take_beats(
+            instance.feed.observe_heartbeats(
                 messages.TargetBeats((heartbeat,)), WrittenLink("control")
             )
-            instance.feed.beat_if_due(1000.0)
-            await asyncio.sleep(2 * BATCH_S)
+            instance.feed.send_heartbeats_if_due(1000.0)
+            await asyncio.sleep(2 * BATCH_DELAY_S)
             assert instance.sent_to_peers == []
 
         run_scenario(scenario, monkeypatch)
@@ -116,8 +123,8 @@
                 messages.TargetBeat("i-1", 0, 4, False, 0),
                 messages.TargetBeat("i-2", 0, 4, False, 0),
             )
-            instance.feed.told([state(2, 4)])
-            instance.feed.take_beats(messages.TargetBeats(heartbeats), link)
+            instance.feed.observe_peer_update([state(2, 4)])
+            instance.feed.observe_heartbeats(messages.TargetBeats(heartbeats), link)
             assert link.taken == [messages.TargetQuery(("i-1",))]
 
         run_scenario(scenario, monkeypatch)
@@ -140,13 +147,13 @@
                 for number in sequences:
                     sequences[number] += 1
                     version = rng.randrange(2) if second <= 6 else 0
-                    instance.feed.announced(
+                    instance.feed.observe_announcement(
                         state(number, sequences[number], version=version)
                     )
                 if second == 5:
-                    instance.feed.ended("i-0")
+                    instance.feed.record_end("i-0")
                 instance.feed.flush()
-                instance.feed.beat_if_due(instance.now_ms)
+                instance.feed.send_heartbeats_if_due(instance.now_ms)
                 self.deliver(registry, link, instance, second)
                 self.deliver(registry, link, instance, second)
             assert registry.targets.pop("i-0").state.gone
@@ -162,7 +169,7 @@
                 registry.update(message.targets, now_s)
             else:
                 missed = registry.record_heartbeats(message.beats, now_s)
-                instance.feed.answer(messages.TargetQuery(tuple(missed)), link)
+                instance.feed.answer_query(messages.TargetQuery(tuple(missed)), link)
 
 
 class TestHeartbeats:
