--- a/src/wisteriapulley/control/__init__.py
+++ b/src/wisteriapulley/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control instances: the replicated state and those who watch it."""
+"""Control instances: the replicated state, its clients and its subscribers."""
--- a/src/wisteriapulley/control/client.py
+++ b/src/wisteriapulley/control/client.py
@@ -1,4 +1,4 @@
-"""What entries and sidecars hold of the control plane: a watch."""
+"""Control plane client of entries and sidecars: catalogue, members and reports."""
 
 import asyncio
 import logging
@@ -24,26 +24,26 @@
 # Longer than a control instance waits for its quorum.
 WATCH_TIMEOUT_S = 5.0
 CONFIRM_RETRY_S = 1.0
-# Load: 820 copies in a burst, whose progress would be reported several times a
-# second each. Harm prevented: a control instance busy with progress; a change
-# of state or revision is always reported at once.
+# With 820 nodes downloading in a burst, reporting each step of progress several
+# times a second would keep a control instance busy. Only progress is delayed; a
+# change of state or revision is reported at once.
 PROGRESS_REPORT_DELAY_S = 2.0
-# A control instance that has known no leader for so long is cut off: its nodes
-# try another one.
+# A control instance that has known no leader for this long counts as isolated, and
+# its nodes try another one.
 ISOLATED_TIMEOUT_S = 3.0
-# Load: 1,330 nodes while no instance has a quorum. Harm prevented: all of them
-# changing instances every few seconds; the patience doubles up to this.
+# Without a quorum no instance is better than another, and 1,330 nodes would switch
+# every few seconds. So the timeout doubles with each switch, up to this value.
 MAX_ISOLATED_TIMEOUT_S = 120.0
 ISOLATED_STATE = "isolated"
 
 
 class LocalCatalogue:
-    """The catalogue in force at a node; its revision never goes down.
+    """The catalogue in force at a node; its revision never decreases.
 
-    A node that has just started can't know which revision it had before. So it
-    takes nothing in until a control instance with a fresh quorum confirmation
-    gave the catalogue; from then on any newer revision of any neighbour will
-    do, because only accepted revisions are told.
+    A node that has just started does not know which revision it had before. So it
+    ignores updates until a control instance sends one that a quorum has just
+    confirmed. After that it applies any newer revision from any peer, because
+    only accepted revisions are sent.
     """
 
     def __init__(self):
@@ -54,11 +54,11 @@
 
     @property
     def revision(self) -> int:
-        """Revision in force here."""
+        """Revision in force at this node."""
         return self.image.revision
 
     def apply_update(self, message: messages.CatalogueUpdate) -> bool:
-        """Take an update in unless it is older; tell whether it changed."""
+        """Apply an update unless it is older; return whether the catalogue changed."""
         if message.fresh and message.revision >= self.revision:
             self.confirmed = True
         if not self.confirmed or message.revision <= self.revision:
@@ -69,25 +69,25 @@
         return True
 
     def to_update(self) -> messages.CatalogueUpdate:
-        """Return what is in force, for a neighbour that is behind."""
+        """Return the catalogue in force as an update for a peer that is behind."""
         return messages.CatalogueUpdate(self.revision, False, self.content)
 
 
 class ControlClient:
-    """Keeps a link to a control instance and what it tells.
+    """Watches the catalogue and the members over a link to a control instance.
 
     Parameters
     ----------
     settings : NodeSettings
         With ``control`` addresses.
     identity : Identity
-        Who this process is.
+        Identity of this process.
     services : tuple of str
-        Members of these are watched; empty for all.
+        Services whose members are watched; empty for all.
     heartbeat : callable
-        Makes the heartbeat to send.
+        Returns the heartbeat to send.
     on_catalogue, on_members : callable
-        Called after a change.
+        Called after a change of the catalogue or the members.
     """
 
     def __init__(
@@ -121,25 +121,25 @@
         )
 
     def rotated_addresses(self, node_id: str) -> list:
-        """Order the control addresses so that nodes spread over them."""
+        """Rotate the control addresses by node id to spread nodes over them."""
         addresses = list(self.settings.control)
         start = sum(node_id.encode()) % len(addresses)
         return addresses[start:] + addresses[:start]
 
     def start(self) -> None:
-        """Begin watching."""
+        """Connect and start watching."""
         self.keeper.start()
         self.confirm_task = asyncio.get_running_loop().create_task(self.confirm_loop())
 
     async def stop(self) -> None:
-        """Stop watching."""
+        """Stop watching and disconnect."""
         self.confirm_task.cancel()
         if self.report_timer is not None:
             self.report_timer.cancel()
         await self.keeper.stop()
 
     async def confirm_loop(self) -> None:
-        """Watch again until a quorum has confirmed the catalogue here."""
+        """Request the catalogue again until a quorum has confirmed it."""
         while not self.catalogue.confirmed:
             await asyncio.sleep(CONFIRM_RETRY_S)
             link = self.keeper.open_link
@@ -147,7 +147,7 @@
                 link.spawn(self.pull(link))
 
     async def on_link_opened(self, link: Link) -> None:
-        """Announce and watch over a new link."""
+        """Announce this node, send its report and watch over a new link."""
         self.isolated_since_s = None
         link.on_heartbeat = self.on_control_heartbeat
         if self.announcement is not None:
@@ -157,12 +157,12 @@
             link.post(self.report)
 
     async def watch(self, link: Link) -> None:
-        """Ask for the catalogue and take the answer in."""
+        """Request the catalogue and apply the reply."""
         query = messages.Watch(self.catalogue.revision, self.services)
         try:
             frame = await link.request(query, WATCH_TIMEOUT_S)
         except WisteriapulleyError as error:
-            log.info("watch of %s: %s", link.peer_id, error)
+            log.info("watch request to %s failed: %s", link.peer_id, error)
             return
         if isinstance(frame.message, messages.CatalogueUpdate):
             self.receive(frame.message)
@@ -173,7 +173,7 @@
         self.post(announcement)
 
     def send_report(self, report: messages.Report) -> None:
-        """Report this node's state when it changed; mere progress may wait."""
+        """Send a changed report; one that differs only in progress is delayed."""
         before, self.report = self.report, report
         if report == before:
             return
@@ -193,7 +193,7 @@
         self.post(self.report)
 
     def post(self, message: tuple) -> None:
-        """Send if a link is open."""
+        """Send a message if a link is open; drop it otherwise."""
         if self.keeper.open_link is not None:
             self.keeper.open_link.post(message)
 
@@ -203,39 +203,39 @@
         Raises
         ------
         WisteriapulleyError
-            NO_QUORUM: it is not known whether the command was committed.
+            NO_QUORUM: the command may or may not have been committed.
         """
         frame = await self.request(messages.Propose(encode(command)), PROPOSE_TIMEOUT_S)
         return decode_result(command, frame.message.result)
 
     async def lease(self) -> messages.Lease:
-        """Ask for the leader's lease, as proof of a live quorum.
+        """Request the leader's lease, as proof of a live quorum.
 
         Raises
         ------
         WisteriapulleyError
-            NO_QUORUM.
+            NO_QUORUM: no control instance could provide the lease.
         """
         return (await self.request(messages.LeaseQuery(), LEASE_TIMEOUT_S)).message
 
     async def request(self, message: tuple, timeout_s: float) -> Frame:
-        """Send a request to the control instance; a lost answer is NO_QUORUM."""
+        """Send a request to the control instance; a lost reply is NO_QUORUM."""
         link = self.keeper.open_link
         if link is None:
-            raise no_quorum("no control instance answers")
+            raise no_quorum("not connected to a control instance")
         try:
             return await link.request(message, timeout_s)
         except WireError as error:
             raise no_quorum(str(error)) from error
 
     async def handle(self, link: Link, frame: Frame) -> None:
-        """Handle a frame of the control instance."""
+        """Handle a frame from the control instance."""
         self.receive(frame.message)
 
     @singledispatchmethod
     def receive(self, message: tuple) -> None:
-        """Ignore what a newer control instance may send."""
-        log.debug("ignored %s", type(message).__name__)
+        """Ignore unknown messages, which a newer control instance may send."""
+        log.debug("ignored message %s", type(message).__name__)
 
     @receive.register
     def receive_catalogue(self, message: messages.CatalogueUpdate) -> None:
@@ -256,7 +256,7 @@
         self.on_members()
 
     async def pull(self, link: Link) -> None:
-        """Pull the catalogue from a peer whose heartbeat is ahead."""
+        """Pull the catalogue from a peer whose revision is ahead."""
         self.pulling = True
         try:
             await self.watch(link)
@@ -264,16 +264,16 @@
             self.pulling = False
 
     def pull_if_behind(self, link: Link) -> None:
-        """Compare a peer's revision with ours; pull when behind.
+        """Pull the catalogue if a peer's heartbeat has a newer revision.
 
-        One pull at a time: a change makes all neighbours run ahead at once.
+        Only one pull runs at a time, since after a change all peers are ahead.
         """
         behind = link.peer_heartbeat.revision > self.catalogue.revision
         if behind and self.catalogue.confirmed and not self.pulling:
             link.spawn(self.pull(link))
 
     def on_control_heartbeat(self, link: Link) -> None:
-        """Compare revisions, and leave a control instance that is cut off."""
+        """Pull a newer revision, and disconnect from an isolated control instance."""
         self.pull_if_behind(link)
         now = asyncio.get_running_loop().time()
         if link.peer_heartbeat.state != ISOLATED_STATE:
@@ -288,11 +288,11 @@
             link.close()
 
     async def wait_confirmed(self) -> None:
-        """Wait until a quorum confirmed the catalogue in force here."""
+        """Wait until a quorum has confirmed the catalogue in force here."""
         while not self.catalogue.confirmed:
             await asyncio.sleep(0.02)
 
 
 def differs_only_in_progress(before: messages.Report, after: messages.Report) -> bool:
-    """Tell whether two reports differ in the bytes copied only."""
+    """Return whether two reports differ at most in the bytes done."""
     return before._replace(bytes_done=after.bytes_done) == after
--- a/src/wisteriapulley/control/control_api.py
+++ b/src/wisteriapulley/control/control_api.py
@@ -1,6 +1,6 @@
-"""What operators and targets order or announce, whatever format they speak.
+"""Calls of operators and targets to a control instance, independent of their format.
 
-An adapter decodes a call into the product's types and calls `Orders`; see
+An adapter decodes a call into the types of this package and calls `ControlApi`; see
 `wisteriapulley.platform`.
 """
 
@@ -24,8 +24,8 @@
 
 log = logging.getLogger(__name__)
 
-# A caller that hears nothing within a second goes to another instance: past
-# this time the answer is that the outcome is not known.
+# A caller without a response within a second turns to another instance. After this
+# time the response is that the outcome is unknown.
 COMMIT_TIMEOUT_S = 2.5
 READ_TIMEOUT_S = 0.8
 TABLE_DECODER = msgspec.msgpack.Decoder(RoutingTable)
@@ -37,49 +37,49 @@
 
 
 def unpack_table(content: bytes) -> RoutingTable:
-    """Decode what `pack_table` made.
+    """Decode a routing table encoded by `pack_table`.
 
     Raises
     ------
     msgspec.DecodeError, zlib.error
-        The content is not a table.
+        The content is not an encoded routing table.
     """
     return TABLE_DECODER.decode(zlib.decompress(content))
 
 
 class ControlApi:
-    """Calls of operators and targets at one control instance.
+    """Handles calls of operators and targets at one control instance.
 
     Parameters
     ----------
     service : ControlService
-        Whose replica, state and followers they reach.
+        The service whose replica, state and followers the calls use.
     """
 
     def __init__(self, service):
         self.service = service
 
     async def replace_routing(self, table: RoutingTable, original: bytes) -> int:
-        """Put a routing table in force.
+        """Commit a routing table and put it in force.
 
         Parameters
         ----------
         table : RoutingTable
-            Decoded by the adapter.
+            The table, decoded by the adapter.
         original : bytes
-            The text as it came, to be read back.
+            The table as received, to be returned by `read_routing`.
 
         Returns
         -------
         int
-            The version in force; not below the table's.
+            The version in force; at least that of `table`.
 
         Raises
         ------
         CatalogueError
             The table is not valid.
         WisteriapulleyError
-            NO_QUORUM: it is not known whether it is in force; send it again.
+            NO_QUORUM: the table may or may not be in force; send it again.
         """
         check_table(table)
         command = PutRouting(table.version, pack_table(table), zlib.compress(original))
@@ -89,14 +89,14 @@
         return await self.commit(command)
 
     async def set_desired_version(self, model: str, version: int) -> int:
-        """Name the version of a model's weights; see `replace_routing`."""
+        """Commit the desired version of a model's weights; see `replace_routing`."""
         held = self.service.state.weights.get(model, 0)
         if version <= held:
             return held
         return await self.commit(PutWeights(model, version))
 
     async def commit(self, command: Command) -> int:
-        """Commit a command that names a version; return the one in force."""
+        """Commit a command that sets a version; return the version in force."""
         try:
             async with asyncio.timeout(COMMIT_TIMEOUT_S):
                 data = await self.service.propose(command)
@@ -111,13 +111,13 @@
         return result.version
 
     async def read_routing(self) -> bytes:
-        """Return the newest table as its operator sent it.
+        """Return the newest routing table as its operator sent it.
 
         Raises
         ------
         WisteriapulleyError
-            NO_QUORUM: this instance can't be sure which one is the newest, or
-            none was sent yet.
+            NO_QUORUM: this instance can't confirm which table is the newest, or
+            no table was accepted yet.
         """
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
@@ -126,22 +126,22 @@
             raise no_quorum("no majority answered in time") from error
         routing = self.service.state.routing
         if not routing.version:
-            raise no_quorum("no routing table was accepted yet")
+            raise no_quorum("no routing table has been accepted yet")
         return zlib.decompress(routing.original)
 
     def observe_target(self, state: TargetState) -> None:
-        """Take a target's announcement; what changed is told at once."""
+        """Record a target's announcement; a change is published at once."""
         if self.service.publisher.target_feed.observe_announcement(state):
             log.info("target changed", extra=target_fields(state))
 
     def remove_target(self, target_id: str) -> None:
-        """Take a target's word that it ends."""
+        """Record that a target shuts down."""
         state = self.service.publisher.target_feed.record_end(target_id)
         log.info("target changed", extra=target_fields(state))
 
 
 def target_fields(state: TargetState) -> dict[str, object]:
-    """Describe a target for a log line."""
+    """Return the log fields that describe a target."""
     return fields(
         target=state.target_id,
         service=state.service,
--- a/src/wisteriapulley/control/fanout.py
+++ b/src/wisteriapulley/control/fanout.py
@@ -1,7 +1,7 @@
-"""Tells watchers what changed, without queueing on a slow link.
+"""Sends changes to watchers without queueing on slow links.
 
-What a watcher has not taken yet is never queued behind: it is only noted as
-due, and sent in its newest form once the link has room.
+An update that a watcher's link has no room for is not queued. It is only marked as
+due, and its newest version is sent once the link has room.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -12,14 +12,14 @@
 from wisteriapulley.control.members import filter_by_service
 from wisteriapulley.wire import Link, messages
 
-# Load: one change goes to all watchers of an instance, some of them frozen or
-# behind a stalled connection. Harm prevented: a queue for each such link. Twice
-# the limit of a kernel's socket buffer would only delay newer revisions.
+# A change goes to all watchers of an instance, some of them frozen or behind a
+# stalled connection; without a limit each such link would grow a queue. Twice the
+# limit of a kernel's socket buffer would only delay newer revisions.
 MAX_BUFFERED_BYTES = 256 << 10
 
 
 class Watcher:
-    """A node that watches this instance."""
+    """A node that watches this instance, and what it is due."""
 
     def __init__(self, link: Link, services: tuple[str, ...]):
         self.link = link
@@ -29,7 +29,7 @@
 
     @property
     def is_writable(self) -> bool:
-        """Whether its link is open and has room."""
+        """Whether the link is open and has room."""
         if self.link.closed.is_set():
             return False
         buffered = self.link.write_buffer_bytes()
@@ -37,18 +37,18 @@
 
 
 class Fanout:
-    """Watchers of one control instance.
+    """Sends the catalogue and the members to watchers of one control instance.
 
     Parameters
     ----------
     catalogue : Catalogue
-        The accepted entries.
+        The accepted catalogue.
     members : Mapping
         The view of the members, by node id.
     is_settled : callable
-        Whether the view is whole. Before, a watcher is told of members but is
-        not told to forget others, so that an instance that has just started
-        takes no target from any entry.
+        Whether the view is complete. Until then updates only add members and
+        never replace a watcher's list, so that an instance that has just started
+        does not remove targets from entries.
     """
 
     def __init__(
@@ -63,10 +63,10 @@
         self.watchers: dict[Link, Watcher] = {}
 
     def add(self, link: Link, services: tuple[str, ...]) -> None:
-        """Take a watcher in and tell it all members.
+        """Add a watcher and send it all members.
 
-        The answer to its watch carries what is accepted now; later revisions
-        are pushed.
+        The reply to its watch request carries the current revision; later
+        revisions are pushed.
         """
         if link not in self.watchers:
             watcher = Watcher(link, services)
@@ -75,11 +75,11 @@
             self.send_members(watcher)
 
     def remove(self, link: Link) -> None:
-        """Forget a watcher."""
+        """Remove a watcher."""
         self.watchers.pop(link, None)
 
     def publish_members(self, changes: Iterable[messages.Announce]) -> None:
-        """Tell watchers of changes that concern them."""
+        """Send changed members to the watchers of their services."""
         for watcher in self.watchers.values():
             concerned = filter_by_service(changes, watcher.services)
             if not concerned or watcher.members_due:
@@ -90,12 +90,12 @@
                 watcher.members_due = True
 
     def schedule_full_updates(self) -> None:
-        """Note that every watcher is due a whole view."""
+        """Mark every watcher as due for the full list of members."""
         for watcher in self.watchers.values():
             watcher.members_due = True
 
     def flush(self) -> None:
-        """Send what is due over links that have room."""
+        """Send due updates over links that have room."""
         revision = self.catalogue.revision
         due = [
             watcher
@@ -114,7 +114,7 @@
                 self.send_members(watcher)
 
     def send_members(self, watcher: Watcher) -> None:
-        """Send all members that concern a watcher."""
+        """Send a watcher all members of its services."""
         watcher.members_due = False
         members = filter_by_service(self.members.values(), watcher.services)
         full = self.is_view_complete()
@@ -123,10 +123,10 @@
     def catalogue_update(
         self, fresh: bool, known: int = -1
     ) -> messages.CatalogueUpdate:
-        """Encode the whole catalogue; no content when `known` is current.
+        """Encode the whole catalogue; without content if `known` is current.
 
-        Only the answer to a watch is `fresh`, after a quorum confirmed it. A
-        push is not: an instance that replays its log pushes old revisions too.
+        Only the reply to a watch request is `fresh`, after a quorum confirmed it. A
+        push never is, since an instance that replays its log pushes old revisions.
         """
         revision = self.catalogue.revision
         if known >= revision:
--- a/src/wisteriapulley/control/followers.py
+++ b/src/wisteriapulley/control/followers.py
@@ -1,9 +1,10 @@
-"""Tells entries and sidecars of routing tables, weights, targets and instances.
+"""Pushes routing tables, weights, targets and instances to entries and sidecars.
 
-Load: each change goes to every follower from every control instance that it is
-linked to. Harm prevented: whole tables that cross a region's border once for each
-of them. A table is therefore pushed within its own region only; a heartbeat
-tells the others of its version, and they ask when it does not reach them.
+A follower gets each change from every control instance that it is connected to.
+Pushing whole tables to all followers would send them across a region's border once
+per connection. So a table is pushed only within the region of the instance.
+Followers in other regions see its version in a heartbeat, and request the table if
+they do not get it in their own region.
 """
 
 import logging
@@ -21,7 +22,7 @@
 
 
 class Followers:
-    """Links that follow one control instance."""
+    """Links of the followers of one control instance."""
 
     def __init__(self, failure_domain: str, regions: Regions):
         self.failure_domain = failure_domain
@@ -30,56 +31,56 @@
         self.entry_count = 0
 
     def add(self, link: Link) -> None:
-        """Take a follower in."""
+        """Add a follower."""
         self.links.add(link)
         self.update_entry_count()
 
     def remove(self, link: Link) -> None:
-        """Forget a follower."""
+        """Remove a follower."""
         self.links.discard(link)
         self.update_entry_count()
 
     def update_entry_count(self) -> None:
-        """Know how many of the followers are entries."""
+        """Count the followers that are entries."""
         self.entry_count = sum(link.peer.role == ENTRY for link in self.links)
 
     def is_in_own_region(self, link: Link) -> bool:
-        """Tell whether a follower is in this instance's region."""
+        """Return whether a follower is in this instance's region."""
         return self.regions.same(link.peer.failure_domain, self.failure_domain)
 
     def open_links(self, role: str = "") -> Iterable[Link]:
-        """Yield links that have room, of one role or of all."""
+        """Yield open links that have room, of one role or of all roles."""
         for link in tuple(self.links):
             if link.closed.is_set() or (role and link.peer.role != role):
                 continue
             if link.write_buffer_bytes() < MAX_BUFFERED_BYTES:
                 yield link
 
-    def push_routing(self, news: messages.RoutingNews) -> None:
-        """Send a table to the entries of the region, its version to all."""
+    def push_routing(self, message: messages.RoutingNews) -> None:
+        """Send a table to entries of the region, and its version to all entries."""
         links = tuple(self.open_links(ENTRY))
-        broadcast(filter(self.is_in_own_region, links), news)
+        broadcast(filter(self.is_in_own_region, links), message)
         for link in links:
             if not self.is_in_own_region(link):
                 link.send_heartbeat()
 
-    def push_models(self, news: messages.ModelNews) -> None:
-        """Tell everyone of the weights in force."""
-        broadcast(self.open_links(), news)
+    def push_models(self, message: messages.ModelNews) -> None:
+        """Send the weights in force to all followers."""
+        broadcast(self.open_links(), message)
 
     def push_targets(
         self,
         states: Iterable[messages.TargetState],
         changes: Mapping[str, Change],
     ) -> None:
-        """Tell entries of changed targets, and sidecars of those that came or left.
+        """Send changed targets to entries, and changed membership to sidecars too.
 
         Parameters
         ----------
         states : iterable of TargetState
-            Newest news of each.
+            Newest state of each changed target.
         changes : mapping of str to Change
-            What changed, by target.
+            Kind of change, by target id.
         """
         states = tuple(states)
         if states:
@@ -91,14 +92,14 @@
             broadcast(self.open_links(SIDECAR), messages.TargetNews(members))
 
     def push_heartbeats(self, beats: tuple[messages.TargetBeat, ...]) -> None:
-        """Tell entries which targets were heard again."""
+        """Send target heartbeats to entries."""
         if beats:
             broadcast(self.open_links(ENTRY), messages.TargetBeats(beats))
 
-    def push_suspects(self, news: messages.SuspectNews) -> None:
-        """Tell entries under which requests targets ended."""
-        broadcast(self.open_links(ENTRY), news)
+    def push_suspects(self, message: messages.SuspectNews) -> None:
+        """Send entries the requests during which targets ended."""
+        broadcast(self.open_links(ENTRY), message)
 
-    def push_hosts(self, news: messages.ControlNews) -> None:
-        """Tell everyone where control instances are."""
-        broadcast(self.open_links(), news)
+    def push_hosts(self, message: messages.ControlNews) -> None:
+        """Send the control instances to all followers."""
+        broadcast(self.open_links(), message)
--- a/src/wisteriapulley/control/forward.py
+++ b/src/wisteriapulley/control/forward.py
@@ -1,4 +1,4 @@
-"""Sends a follower's proposals on to the leader."""
+"""Forwards proposals to the leader."""
 
 from collections.abc import Callable
 
@@ -13,27 +13,27 @@
 async def forward(
     link: Link, message: messages.Propose, is_leader: Callable[[], bool]
 ) -> bytes:
-    """Send a command to the leader and wait while it leads.
+    """Forward a command to the leader and wait for the result while it leads.
 
-    A frozen leader keeps its link open until it has been silent for too long;
-    the others elect a new one sooner, and the sender then hears at once that
-    the outcome is not known.
+    The link to a frozen leader stays open until the silence timeout. The others elect
+    a new leader sooner, and the sender then learns at once that the outcome is
+    unknown.
 
     Parameters
     ----------
     link : Link
-        To the leader.
+        Link to the leader.
     message : Propose
-        The command.
-    leads : callable
-        Whether the peer of `link` still leads, as far as is known here.
+        The command to forward.
+    is_leader : callable
+        Whether the peer of `link` is still the leader, as far as is known here.
 
     Raises
     ------
     WireError
-        The answer was lost, or the peer leads no more.
+        The reply was lost, or the peer is no longer the leader.
     WisteriapulleyError
-        The leader answered with a failure.
+        The leader replied with a failure.
     """
     call = link.call(message)
     checks = int(FORWARD_TIMEOUT_S / LEADER_CHECK_INTERVAL_S)
--- a/src/wisteriapulley/control/founding.py
+++ b/src/wisteriapulley/control/founding.py
@@ -1,4 +1,4 @@
-"""What `control init` asks first: whether the cluster is founded already."""
+"""The check of `control init` that the cluster is not founded yet."""
 
 import asyncio
 import time
@@ -11,27 +11,27 @@
 
 
 def check_not_founded(settings: ControlSettings) -> None:
-    """Refuse to found while a peer answers.
+    """Raise if a peer answers, since then the cluster is founded already.
 
-    Only a cluster that is founded runs, so any peer that answers shows one. A
-    second founding would be a second truth until the two meet.
+    Only a founded cluster has running instances. Founding it again would create a
+    second cluster with its own state, until the two connect to each other.
 
     Raises
     ------
     StorageError
-        A peer answers.
+        ALREADY_FOUNDED: a peer answers.
     """
-    answers = asyncio.run(find_running_peer(settings))
-    if answers:
+    running_peer = asyncio.run(find_running_peer(settings))
+    if running_peer:
         raise StorageError(
             ResultCode.ALREADY_FOUNDED,
-            f"expected no control instance to run yet, got an answer of {answers};"
+            f"expected no running control instance, got an answer from {running_peer};"
             " run `wisteriapulley control join` here",
         )
 
 
 async def find_running_peer(settings: ControlSettings) -> str:
-    """Return the node id of a peer that answers, or nothing."""
+    """Return the node id of a peer that answers, or an empty string."""
     identity = Identity(
         settings.node_id,
         "control",
@@ -57,4 +57,4 @@
 
 
 async def ignore_frame(link: Link, frame) -> None:
-    """Take a frame and do nothing."""
+    """Ignore a frame."""
--- a/src/wisteriapulley/control/members.py
+++ b/src/wisteriapulley/control/members.py
@@ -1,9 +1,10 @@
-"""Who is in the fleet, as announced; soft state of the control instances.
+"""Fleet membership from announcements; soft state of the control instances.
 
-Each control instance owns the members linked to it and tells the others of
-changes only. The union needs no leader, so targets are found also while the
-quorum is away. A member seen by two owners counts with its newest announcement.
-Pure: callers give the time. See ``docs/design/membership.md``.
+Each control instance owns the members linked to it and sends only changes to the
+others. The view is the union of all owners' members. It needs no leader, so targets
+can be discovered without a quorum. If two owners have the same member, its newest
+announcement wins. The code does no I/O; callers pass the time in. See
+``docs/design/membership.md``.
 """
 
 from collections.abc import Iterable
@@ -13,15 +14,15 @@
 
 
 class Changes(NamedTuple):
-    """What an input changed.
+    """Changes that result from one input.
 
     Attributes
     ----------
     own : tuple of Announce
-        Among the members that this instance owns; peers are told these, also
-        when the view stays as it is, so that they know every owner.
+        Changes of the members that this instance owns. They are sent to peers
+        even if the view is unchanged, so that peers know every owner.
     view : tuple of Announce
-        In the union; watchers are told these.
+        Changes of the union. They are sent to watchers.
     """
 
     own: tuple[Announce, ...] = ()
@@ -29,7 +30,7 @@
 
 
 class OwnedMember(NamedTuple):
-    """One owner's record of a member; it ends at `ends_ms` unless renewed."""
+    """One owner's record of a member; it expires at `expires_ms` unless renewed."""
 
     announce: Announce
     expires_ms: float = float("inf")
@@ -41,13 +42,13 @@
     Parameters
     ----------
     owner : str
-        This control instance.
+        Node id of this control instance.
     epoch : int
-        Its incarnation, so that its restart replaces what it owned.
+        Incarnation of this instance; a newer one supersedes its older updates.
     lease_ms : float
-        How long a member stays after its link closed.
+        How long a member is kept after its link closed.
     grace_ms : float
-        How long another owner's members stay after its links closed.
+        How long another owner's members are kept after its link closed.
     """
 
     def __init__(
@@ -68,32 +69,32 @@
     # -- own members -----------------------------------------------------
 
     def record_announcement(self, announce: Announce) -> Changes:
-        """Take in what a member linked to this instance says of itself.
+        """Record the announcement of a member linked to this instance.
 
-        An older announcement than the one that stands changes nothing: of two
-        processes under one node id, the newer incarnation counts.
+        An announcement older than the recorded one is ignored, so of two processes
+        with the same node id the newer incarnation wins.
         """
         members = self.owned[self.owner]
-        standing = members.get(announce.node_id)
-        if standing is not None and announcement_order(
-            standing.announce
+        recorded = members.get(announce.node_id)
+        if recorded is not None and announcement_order(
+            recorded.announce
         ) > announcement_order(announce):
             return Changes()
         members[announce.node_id] = OwnedMember(announce)
-        told = standing is not None and standing.announce == announce
+        unchanged = recorded is not None and recorded.announce == announce
         return Changes(
-            () if told else (announce,), self.refresh_view([announce.node_id])
+            () if unchanged else (announce,), self.refresh_view([announce.node_id])
         )
 
     def detach(self, node_id: str, now_ms: float) -> None:
-        """Let an own member's lease run out: its link closed."""
+        """Start the lease of an own member whose link closed."""
         members = self.owned[self.owner]
         if node_id in members:
             record = members[node_id]
             members[node_id] = record._replace(expires_ms=now_ms + self.lease_ms)
 
     def full_update(self) -> MemberUpdate:
-        """Return all that this instance owns."""
+        """Return a full update of the members that this instance owns."""
         own = self.owned[self.owner].values()
         return MemberUpdate(
             self.owner, self.epoch, True, tuple(record.announce for record in own)
@@ -102,10 +103,10 @@
     # -- members of others -----------------------------------------------
 
     def apply_update(self, update: MemberUpdate, now_ms: float) -> Changes:
-        """Take in what another owner tells.
+        """Apply an update from another owner.
 
-        A restarted owner begins with nothing: what it owned before stays for a
-        lease, because its members are about to announce themselves again.
+        A restarted owner begins without members. Its earlier ones are kept for a
+        lease, because they are about to announce themselves again.
         """
         epoch = self.epochs.get(update.owner, 0)
         if update.epoch < epoch or update.owner == self.owner:
@@ -127,7 +128,7 @@
     def drop_unlisted(
         self, members: dict[str, OwnedMember], kept: set[str]
     ) -> list[str]:
-        """Drop records that a full update lacks and that await no renewal."""
+        """Drop records missing from a full update, unless they expire anyway."""
         dropped = [
             name
             for name, record in members.items()
@@ -138,11 +139,11 @@
         return dropped
 
     def owner_disconnected(self, owner: str, now_ms: float) -> None:
-        """Let all that an unreachable owner holds run out after the grace."""
+        """Expire all members of an unreachable owner after the grace period."""
         self.limit_expiry(owner, now_ms + self.grace_ms)
 
     def limit_expiry(self, owner: str, expires_ms: float) -> None:
-        """Let all of an owner's records end at `ends_ms` at the latest."""
+        """Let all of an owner's records expire at `expires_ms` at the latest."""
         members = self.owned.get(owner, {})
         for name, record in members.items():
             members[name] = record._replace(
@@ -152,25 +153,27 @@
     # -- both ------------------------------------------------------------
 
     def sweep(self, now_ms: float) -> Changes:
-        """Drop every record whose time has ended."""
+        """Drop every expired record and return the changes."""
         own: list[Announce] = []
         names: list[str] = []
         for owner, members in self.owned.items():
-            ended = [n for n, record in members.items() if record.expires_ms <= now_ms]
-            names += ended
-            for name in ended:
+            expired = [
+                n for n, record in members.items() if record.expires_ms <= now_ms
+            ]
+            names += expired
+            for name in expired:
                 announce = members.pop(name).announce
                 if owner == self.owner:
                     own.append(announce._replace(gone=True))
         return Changes(tuple(own), self.refresh_view(names))
 
     def refresh_view(self, names: Iterable[str]) -> tuple[Announce, ...]:
-        """Recompute the view of `names`; return the changes."""
+        """Recompute the view of the members in `names`; return the changes."""
         changes = (self.refresh_member(name) for name in dict.fromkeys(names))
         return tuple(change for change in changes if change is not None)
 
     def refresh_member(self, name: str) -> Announce | None:
-        """Recompute one member of the view; return its change."""
+        """Recompute one member of the view; return its change, if any."""
         known = [
             members[name].announce for members in self.owned.values() if name in members
         ]
@@ -184,12 +187,12 @@
 
 
 def announcement_order(announce: Announce) -> tuple[int, int]:
-    """Order announcements of one node id, oldest first."""
+    """Return a sort key for announcements of one node id, oldest first."""
     return announce.incarnation, announce.sequence
 
 
 def filter_by_service(
     members: Iterable[Announce], services: tuple[str, ...]
 ) -> tuple[Announce, ...]:
-    """Return members of `services`; no services means all."""
+    """Return the members of `services`, or all members if it is empty."""
     return tuple(m for m in members if not services or m.service in services)
--- a/src/wisteriapulley/control/operators.py
+++ b/src/wisteriapulley/control/operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface of a control instance: HTTP with bearer tokens."""
+"""HTTP interface for operators of a control instance, with bearer tokens."""
 
 import hmac
 
@@ -13,13 +13,13 @@
 from wisteriapulley.errors import CODE_TABLE, CatalogueError, ResultCode
 
 BEARER = "Bearer "
-# Load: a change of every entry, some 300 bytes each. Harm prevented: one body
-# that fills the log and every follower's memory.
+# Enough for a change of every entry at about 300 bytes each. Without a limit one body
+# could fill the log and the memory of every follower.
 MAX_CHANGE_BYTES = 1 << 20
 
 
 def operator_routes(service) -> list[web.RouteDef]:
-    """Make the routes of `service` (a ControlService)."""
+    """Return the operators' routes of `service` (a ControlService)."""
     operators = OperatorHandlers(service)
     return [
         web.post("/v1/catalogue/changes", operators.change),
@@ -30,13 +30,13 @@
 
 
 class OperatorHandlers:
-    """Handlers of the operators' interface."""
+    """Handlers of the operators' routes."""
 
     def __init__(self, service):
         self.service = service
 
     def authenticate(self, request: web.Request) -> str:
-        """Return whose token the request bears.
+        """Return the operator whose token the request carries.
 
         Raises
         ------
@@ -51,23 +51,25 @@
                 owner = name
         if not owner or not header.startswith(BEARER):
             raise CatalogueError(
-                ResultCode.UNAUTHORIZED, "expected the bearer token of an operator"
+                ResultCode.UNAUTHORIZED,
+                "expected `Authorization: Bearer` with the token of an operator",
             )
         return owner
 
     async def change(self, request: web.Request) -> web.Response:
-        """Accept a change."""
+        """Commit a catalogue change."""
         owner = self.authenticate(request)
         try:
             change = msgspec.json.decode(await request.read(), type=Change)
         except msgspec.DecodeError as error:
             raise CatalogueError(
-                ResultCode.CATALOGUE_ENTRY_INVALID, f"expected a change: {error}"
+                ResultCode.CATALOGUE_ENTRY_INVALID,
+                f"expected a catalogue change as JSON: {error}",
             ) from error
         if change.owner != owner:
             raise CatalogueError(
                 ResultCode.NOT_OWNER,
-                f"the token is of {owner!r}, the change of {change.owner!r}",
+                f"the token belongs to {owner!r}, the change to {change.owner!r}",
             )
         data = await self.service.propose(ChangeCatalogue(change))
         result = msgspec.msgpack.decode(data, type=ChangeResult)
@@ -87,12 +89,12 @@
         return json_response(tuple(history_rows(self.service.state.catalogue)))
 
     async def wait_for_quorum(self) -> None:
-        """Wait until what a majority had accepted is applied here.
+        """Wait until all changes committed so far are applied here.
 
         Raises
         ------
         WisteriapulleyError
-            NO_QUORUM.
+            NO_QUORUM: no quorum answered, or this instance lags too far behind.
         """
         try:
             await self.service.driver.read_barrier()
@@ -100,7 +102,7 @@
             raise no_quorum("this instance lags behind the leader") from error
 
     async def status(self, request: web.Request) -> web.Response:
-        """Return what every node has in force; it needs no quorum."""
+        """Return what every node has in force; this needs no quorum."""
         self.authenticate(request)
         service = self.service
         rows = tuple(service.reports.rows(service.members.view))
@@ -112,7 +114,7 @@
 
 
 def json_response(value: object, status: int = 200) -> web.Response:
-    """Answer with `value` as JSON."""
+    """Return a response with `value` as JSON."""
     return web.Response(
         body=msgspec.json.encode(value), status=status, content_type="application/json"
     )
--- a/src/wisteriapulley/control/pieces.py
+++ b/src/wisteriapulley/control/pieces.py
@@ -1,4 +1,4 @@
-"""Hands pieces of weights on from one control instance."""
+"""Serves manifests and pieces of weights from one control instance."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,25 +13,25 @@
 from wisteriapulley.weights.relay import LinkHolder, Relay, manifest_reply
 from wisteriapulley.wire import Frame, Link, messages
 
-# A version whose manifest alone was asked for is drawn after so long. Engines that
-# restart hold its pieces and wait for the manifest: drawn at once, the pieces fill the
-# origin's link before the other instances have had the manifest.
+# Delay before the pieces of a version are prefetched after a request for its manifest.
+# Engines that restart hold the pieces and wait only for the manifest. Pieces fetched at
+# once would fill the origin's link before the other instances got the manifest.
 PREFETCH_DELAY_S = 1.0
 
 
 class PieceServer:
-    """Pieces that this instance holds, and where it takes them from.
+    """Serves pieces that this instance holds or fetches.
 
     Parameters
     ----------
     settings : ControlSettings
-        Where the instance is.
+        Node id, failure domain and regions of the instance.
     driver : Driver
-        Its links to the others.
+        Driver with the links to the other instances.
     origin : callable
         Returns the origin of weights that the routing table names, if any.
     open_origin : callable, optional
-        Makes the client of the origin from its address; an adapter's.
+        Creates the client of the origin from its address; set by an adapter.
     """
 
     def __init__(
@@ -47,19 +47,19 @@
         self.origin = origin
         self.open_origin = open_origin
         self.relay = Relay(self.sources)
-        # Versions to be drawn soon, though no piece of them is wanted yet.
+        # Timers of versions whose pieces nobody has requested yet.
         self.prefetch_timers: dict[tuple[str, int], asyncio.TimerHandle] = {}
 
     def stop(self) -> None:
-        """Stop fetching."""
+        """Stop fetching and cancel scheduled prefetches."""
         for timer in self.prefetch_timers.values():
             timer.cancel()
         self.relay.stop()
 
-    # -- where from ------------------------------------------------------
+    # -- sources ---------------------------------------------------------
 
     def sources(self) -> list[PieceHolder]:
-        """Return where pieces come from, best first; see `weights.relay`."""
+        """Return the sources of pieces, best first; see `weights.relay`."""
         origin = self.origin()
         if origin is None or self.open_origin is None:
             return []
@@ -70,10 +70,10 @@
         return [LinkHolder(upstream), direct]
 
     def upstream(self, home: str) -> Link | None:
-        """Return the instance to take pieces from; None for the origin itself.
+        """Return the link to fetch pieces over; None for the origin itself.
 
-        Of each region the instance with the lowest node id that is reached
-        asks outside its region.
+        In each region only the reachable instance with the lowest node id fetches
+        from outside the region.
         """
         own = self.regions.of(self.settings.failure_domain)
         head = self.lowest_peer_in(own)
@@ -82,25 +82,25 @@
         return None if own == home else self.lowest_peer_in(home)
 
     def lowest_peer_in(self, region: str) -> Link | None:
-        """Return the link to a region's other instance with the lowest node id."""
+        """Return the link to the lowest node id among the region's other instances."""
         links = filter(None, map(self.driver.link_to, sorted(self.driver.peers)))
         for link in links:
             if self.regions.of(link.peer.failure_domain) == region:
                 return link
         return None
 
-    # -- questions -------------------------------------------------------
+    # -- requests --------------------------------------------------------
 
     async def answer_manifest(
         self, query: messages.ManifestQuery, link: Link, frame: Frame
     ) -> None:
-        """Answer with a manifest, and fetch its pieces soon."""
+        """Reply with a manifest, and schedule a prefetch of its pieces."""
         manifest = await self.relay.wait_manifest(query.model, query.version)
         link.post(manifest_reply(manifest), reply_to=frame.id)
         self.schedule_prefetch(manifest.model, manifest.version)
 
     def schedule_prefetch(self, model: str, version: int) -> None:
-        """Fetch the pieces of a version before an engine without them asks."""
+        """Prefetch the pieces of a version before an engine requests them."""
         key = (model, version)
         if key not in self.prefetch_timers:
             loop = asyncio.get_running_loop()
@@ -111,13 +111,13 @@
     async def answer_held(
         self, query: messages.HeldQuery, link: Link, frame: Frame
     ) -> None:
-        """Answer which pieces of a version are held here."""
+        """Reply with the pieces of a version that are held here."""
         link.post(await self.relay.wait_held(query), reply_to=frame.id)
 
     async def answer_piece(
         self, query: messages.PieceQuery, link: Link, frame: Frame
     ) -> None:
-        """Answer with a part of a piece."""
+        """Reply with a range of a piece."""
         data = await self.relay.piece(query.model, query.version, query.position)
         length = query.length or len(data)
         part = data[query.offset : query.offset + length]
--- a/src/wisteriapulley/control/publisher.py
+++ b/src/wisteriapulley/control/publisher.py
@@ -1,4 +1,4 @@
-"""What one control instance tells the entries and sidecars that follow it."""
+"""Publishes the state of one control instance to entries and sidecars."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,32 +18,32 @@
 from wisteriapulley.weights.desired_versions import DesiredVersions
 from wisteriapulley.wire import Frame, Link, messages
 
-# A follower that asks for the table waits no longer for a quorum's word on it.
+# How long the reply to a follower waits for a quorum to confirm the table.
 CONFIRM_TIMEOUT_S = 0.8
-# Older than any time that a replaced version of weights may still serve.
+# Age given to versions restored from disk: longer than a superseded version may serve.
 RESTORED_AGE_MS = 3_600_000.0
 
 
 class Publisher:
-    """Routing tables, weights and targets, as they are told to followers.
+    """Publishes routing tables, weights, targets and instances to followers.
 
     Parameters
     ----------
     settings : ControlSettings
-        Where the instance is.
+        Settings of the instance: its node id, failure domain and lease times.
     state : ControlState
-        What committed commands drive.
-    on_weights : callable
-        Called with model and version of weights that are new here.
-    tell_peers : callable
+        The replicated state.
+    on_new_weights : callable
+        Called with model and version when a version is first observed here.
+    send_to_peers : callable
         Sends a message to every other control instance.
 
     Attributes
     ----------
     driver : Driver
-        Asks a quorum; set once there is one.
+        Driver of the replica, for quorum reads; set by the service at its start.
     table : RoutingTable
-        The table in force here.
+        The routing table in force here.
     """
 
     def __init__(
@@ -67,12 +67,15 @@
         self.published_routing = 0
         self.published_models: list[messages.ModelState] = []
         self.published_hosts = messages.ControlNews()
-        # Failure domain of each control instance that was ever linked.
+        # Failure domain of each control instance that was ever connected.
         self.failure_domains = {settings.node_id: settings.failure_domain}
         self.table = RoutingTable(0)
 
     def publish_restored(self) -> None:
-        """Take in what the disk held: it was named before this start, long ago."""
+        """Publish the state restored from disk.
+
+        Its versions count as desired since long ago, since when is not stored.
+        """
         for model, version in self.state.weights.items():
             self.versions.record(model, version, steady_ms() - RESTORED_AGE_MS)
         self.publish_changes()
@@ -82,13 +85,13 @@
         return self.table.origin()
 
     def known_hosts(self) -> messages.ControlNews:
-        """Return all instances that take part, as far as known."""
+        """Return all known control instances and their failure domains."""
         hosts = tuple(sorted(self.driver.replica.members.node_ids()))
         domains = tuple(self.failure_domains.get(host, "") for host in hosts)
         return messages.ControlNews(hosts, domains)
 
     def publish_hosts(self) -> bool:
-        """Tell followers of other hosts than before; tell whether there are."""
+        """Publish the control instances if they changed; return whether they did."""
         hosts = self.known_hosts()
         if hosts == self.published_hosts:
             return False
@@ -97,40 +100,41 @@
         return True
 
     def record_peer(self, peer: messages.Hello) -> None:
-        """Know where another control instance is."""
+        """Record the failure domain of another control instance."""
         self.failure_domains[peer.node_id] = peer.failure_domain
 
     def publish_changes(self) -> None:
-        """Tell followers of a routing table or of weights that are new here."""
+        """Publish a new routing table or new weights to followers and peers."""
         if self.state.routing.version > self.published_routing:
             self.published_routing = self.state.routing.version
             self.table = unpack_table(self.state.routing.table)
             self.followers.push_routing(self.routing_message(fresh=False))
         if self.record_weights():
-            models_message = self.models()
-            self.followers.push_models(models_message)
-            self.send_to_peers(models_message)
+            message = self.models_message()
+            self.followers.push_models(message)
+            self.send_to_peers(message)
 
     def record_weights(self) -> bool:
-        """Note since when each version of weights is in force here."""
+        """Record when versions came into force; return whether the models changed."""
         for model, version in self.state.weights.items():
             if self.versions.record(model, version, steady_ms()):
                 self.on_new_weights(model, version)
         states = [
             state._replace(named=tuple(named.version for named in state.named))
-            for state in self.models().models
+            for state in self.models_message().models
         ]
         changed, self.published_models = states != self.published_models, states
         return changed
 
     def observe_models(self, message: messages.ModelNews) -> None:
-        """Take in weights that another instance has in force, and tell followers.
-
-        Load: weights are named while copies of the last ones fill the links between
-        regions. Harm prevented: the log reaches an instance 0.2 to 0.4 s after the
-        operator's acknowledgement, and its followers would let requests begin on the
-        replaced weights for so much longer than they may. Only what is committed is
-        in force anywhere, so the first word of it will do.
+        """Record weights in force at another instance, and publish them to followers.
+
+        When a version becomes desired while downloads of the previous one fill the
+        links between regions, the log reaches an instance 0.2 to 0.4 s after the
+        operator's acknowledgement. If followers waited for the log, they would let
+        requests start on superseded weights for that much longer than allowed. Only
+        committed versions are in force anywhere, so the first message about one is
+        enough.
         """
         now_ms = steady_ms()
         new = [
@@ -142,23 +146,23 @@
         for key in new:
             self.on_new_weights(*key)
         if new:
-            self.followers.push_models(self.models())
+            self.followers.push_models(self.models_message())
 
     def routing_message(self, fresh: bool, known: int = 0) -> messages.RoutingNews:
-        """Make the news of the table in force; no content when `known` is it."""
+        """Return the table in force; without content if `known` is current."""
         routing = self.state.routing
         content = routing.table if routing.version > known else b""
         return messages.RoutingNews(routing.version, fresh, content)
 
-    def models(self) -> messages.ModelNews:
-        """Make the news of the weights in force."""
+    def models_message(self) -> messages.ModelNews:
+        """Return the weights in force."""
         engines = self.table.engines().items()
         return messages.ModelNews(
             tuple(self.model_state(service, engine) for service, engine in engines)
         )
 
     def model_state(self, service: str, engine: Engine) -> messages.ModelState:
-        """Describe one model service."""
+        """Return the engine figures and versions of one model service."""
         now_ms = steady_ms()
         return messages.ModelState(
             service,
@@ -179,20 +183,20 @@
     async def answer_follow(
         self, message: messages.Follow, link: Link, frame: Frame
     ) -> None:
-        """Take a follower in: tell it all news, and answer with the table."""
+        """Add a follower, send it the current state, and reply with the table."""
         self.followers.add(link)
         link.post(self.target_feed.full_update())
         link.post(self.known_hosts())
-        link.post(self.models())
+        link.post(self.models_message())
         if link.peer.role == ENTRY:
             self.suspect_feed.send_all(link)
         if self.state.routing.version > message.routing_version:
-            # Not confirmed yet, but it was in force: a follower that has none may
+            # Not confirmed yet, but it was in force: a follower without a table can
             # serve by it half a second before a quorum answers.
             link.post(self.routing_message(fresh=False, known=message.routing_version))
         known = max(message.routing_version, self.state.routing.version)
-        news = await self.confirmed_routing(known)
-        link.post(news, reply_to=frame.id)
+        reply = await self.confirmed_routing(known)
+        link.post(reply, reply_to=frame.id)
 
     async def confirmed_routing(self, known: int) -> messages.RoutingNews:
         """Return the table in force, confirmed by a quorum if one answers."""
--- a/src/wisteriapulley/control/quorum_members.py
+++ b/src/wisteriapulley/control/quorum_members.py
@@ -1,7 +1,7 @@
-"""Operators' routes for the control instances themselves.
+"""Operators' routes for the quorum of control instances.
 
-Instances join by themselves (`control join`, then run) and get their vote when
-they hold every committed record; operators look and remove.
+Instances join by themselves (`control join`, then run) and become voters once they
+hold every committed record. Operators list and remove them.
 """
 
 import msgspec
@@ -13,7 +13,7 @@
 
 
 class MemberRow(msgspec.Struct, frozen=True):
-    """One disk of the quorum; `match_index` is what it holds synced."""
+    """One disk of the quorum; `match_index` is the last log index synced on it."""
 
     node_id: str
     identity: str
@@ -23,7 +23,7 @@
 
 
 class MemberList(msgspec.Struct, frozen=True):
-    """Answer of ``/v1/control/members``, as the leader sees it."""
+    """Response of ``/v1/control/members``, as seen by the leader."""
 
     leader: str
     term: int
@@ -32,7 +32,7 @@
 
 
 def quorum_routes(service) -> list[web.RouteDef]:
-    """Make the routes of `service` (a ControlService)."""
+    """Return the quorum routes of `service` (a ControlService)."""
     routes = QuorumHandlers(service)
     return [
         web.get("/v1/control/members", routes.list_members),
@@ -41,32 +41,34 @@
 
 
 class QuorumHandlers:
-    """Handlers; only the leader answers, others say to ask it."""
+    """Handlers of the quorum routes; instances that do not lead refuse."""
 
     def __init__(self, service):
         self.service = service
         self.operators = OperatorHandlers(service)
 
     def require_leader(self, request: web.Request):
-        """Return the replica, if the operator is known and it leads.
+        """Authenticate the operator and return the replica if it leads.
 
         Raises
         ------
         WisteriapulleyError
-            UNAUTHORIZED, or NO_QUORUM when another instance is to be asked.
+            UNAUTHORIZED, or NO_QUORUM if this instance does not lead.
         """
         self.operators.authenticate(request)
         replica = self.service.driver.replica
         if self.service.driver.own_lease() is None:
-            raise no_quorum(f"{replica.leader or 'no instance'} leads; ask it")
+            raise no_quorum(
+                f"the leader is {replica.leader or 'unknown'}; send the request to it"
+            )
         return replica
 
     async def list_members(self, request: web.Request) -> web.Response:
-        """Return who takes part."""
+        """Return the members of the quorum."""
         return json_response(member_list(self.require_leader(request)))
 
     async def remove_member(self, request: web.Request) -> web.Response:
-        """Take a member out for good; a leader hands over first."""
+        """Remove a member permanently; a leader hands over first."""
         replica = self.require_leader(request)
         node_id = request.match_info["node_id"]
         if node_id not in replica.members.node_ids():
@@ -76,13 +78,15 @@
             )
         if node_id == replica.node_id and len(replica.members.voters) > 1:
             await self.service.driver.hand_over()
-            raise no_quorum(f"{node_id} handed its lead over; send it again")
+            raise no_quorum(
+                f"{node_id} handed its leadership over; send the request again"
+            )
         await self.service.driver.wait_committed(replica.remove_member(node_id))
         return json_response(member_list(replica))
 
 
 def member_list(replica) -> MemberList:
-    """List the disks that vote, then those that learn."""
+    """Return the voters, then the learners."""
     members = replica.members
     disks = [(n, i, True) for n, i in members.voters.items()]
     disks += [(n, i, False) for n, i in members.learners.items()]
@@ -91,11 +95,11 @@
 
 
 def member_row(replica, node_id: str, identity: str, votes: bool) -> MemberRow:
-    """Describe one disk."""
+    """Return the row of one disk."""
     if identity == replica.identity:
         return MemberRow(node_id, identity, votes, replica.synced_index, True)
     progress = replica.progress.get(node_id)
     if progress is None or progress.identity != identity:
         return MemberRow(node_id, identity, votes, 0, False)
-    alive = replica.is_responsive(node_id)
-    return MemberRow(node_id, identity, votes, progress.match_index, alive)
+    answers = replica.is_responsive(node_id)
+    return MemberRow(node_id, identity, votes, progress.match_index, answers)
--- a/src/wisteriapulley/control/reports.py
+++ b/src/wisteriapulley/control/reports.py
@@ -1,4 +1,4 @@
-"""What every node last said of itself, for ``catalogue status``."""
+"""Newest report of every node, for ``catalogue status``."""
 
 from collections.abc import Iterator, Mapping
 
@@ -6,22 +6,22 @@
 
 from wisteriapulley.wire.messages import Announce, Report
 
-# Weight of the newest sample in a copy's rate: some five reports back.
+# Weight of the newest sample in a download's rate; it averages about five reports.
 RATE_SMOOTHING = 0.3
 UNKNOWN_STATE = "unknown"
 
 
 class StatusRow(msgspec.Struct, frozen=True):
-    """What one node has in force.
+    """State of one node.
 
     Attributes
     ----------
     state, version, desired : str
         State of a target, the version it serves and the one it should serve.
     bytes_done, bytes_total : int
-        Progress of its copy.
+        Progress of its download.
     remaining_s : float
-        Estimated time to the end of the copy; -1 when not known.
+        Estimated time to the end of the download; -1 if unknown.
     detail : str
         Why the last step failed, or empty.
     """
@@ -42,7 +42,7 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """Answer of ``/v1/status``: the revision accepted and every node's own."""
+    """Response of ``/v1/status``: the accepted revision and every node's state."""
 
     revision: int
     leader: str
@@ -50,7 +50,7 @@
 
 
 class ReportedProgress:
-    """One node's newest report and the rate of its copy."""
+    """One node's newest report and the rate of its download."""
 
     def __init__(self, report: Report, now_ms: float):
         self.report = report
@@ -58,7 +58,7 @@
         self.bytes_per_ms = 0.0
 
     def update(self, report: Report, now_ms: float) -> None:
-        """Take the next report in."""
+        """Replace the report and update the rate."""
         elapsed_ms = now_ms - self.progressed_at_ms
         copied = report.bytes_done - self.report.bytes_done
         if report.desired != self.report.desired or copied < 0:
@@ -73,7 +73,7 @@
         self.report = report
 
     def remaining_s(self) -> float:
-        """Estimate the time to the end of the copy; -1 when not known."""
+        """Estimate the time to the end of the download; -1 if unknown."""
         left = self.report.bytes_total - self.report.bytes_done
         if left <= 0 or not self.bytes_per_ms:
             return -1.0
@@ -87,7 +87,7 @@
         self.progress: dict[str, ReportedProgress] = {}
 
     def update(self, report: Report, now_ms: float) -> bool:
-        """Take a report in unless it is of an earlier incarnation."""
+        """Record a report unless it is from an earlier incarnation."""
         known = self.progress.get(report.node_id)
         if known is None or report.incarnation > known.report.incarnation:
             self.progress[report.node_id] = ReportedProgress(report, now_ms)
@@ -98,12 +98,12 @@
         return True
 
     def prune(self, members: Mapping[str, Announce]) -> None:
-        """Forget reports of nodes that are no members any more."""
+        """Drop reports of nodes that are no longer members."""
         for name in set(self.progress) - set(members):
             del self.progress[name]
 
     def rows(self, members: Mapping[str, Announce]) -> Iterator[StatusRow]:
-        """Yield a row for each member, also for one that never reported."""
+        """Yield a row for each member, including those without a report."""
         for name, member in members.items():
             known = self.progress.get(name)
             if known is None or known.report.incarnation < member.incarnation:
@@ -113,7 +113,7 @@
 
 
 def unreported_row(member: Announce) -> StatusRow:
-    """Make the row of a member that has not reported since it started."""
+    """Return the row of a member that has not reported since it started."""
     return StatusRow(
         member.node_id,
         member.role,
@@ -131,7 +131,7 @@
 
 
 def reported_row(progress: ReportedProgress, member: Announce) -> StatusRow:
-    """Make the row of a member from its newest report."""
+    """Return the row of a member from its newest report."""
     report = progress.report
     return StatusRow(
         report.node_id,
--- a/src/wisteriapulley/control/seeds.py
+++ b/src/wisteriapulley/control/seeds.py
@@ -1,12 +1,11 @@
-"""Control instances that find each other through seed addresses.
-
-Where no list of peers stands in the settings, an instance's node id is its
-host, so that an address of a seed names its node. The seeds that start together
-on empty disks are the first voters: each writes the same configuration, with an
-identity that follows from its host, so no instance has to be first. Every later
-disk gets a random identity and joins as a learner. An instance without a disk
-copies the log to a temporary folder; it answers operators and targets, and never
-votes.
+"""Discovery of control instances through seed addresses.
+
+If the settings list no peers, an instance's node id is its host, so that a seed's
+address also gives its node id. The seeds that start together on empty disks are the
+first voters. Each writes the same configuration, with identities derived from the
+hosts, so the start order does not matter. Every later disk gets a random identity and
+joins as a learner. An instance without a disk copies the log to a temporary folder. It
+serves operators and targets, and never votes.
 """
 
 import tempfile
@@ -30,7 +29,7 @@
 
 
 def ensure_data_folder(settings: ControlSettings) -> ControlSettings:
-    """Give an instance without a disk a temporary folder, as an observer.
+    """Return settings with a data folder; without a disk, an observer's temporary one.
 
     Raises
     ------
@@ -47,33 +46,33 @@
 
 
 def ensure_identity(settings: ControlSettings, files: Files | None = None) -> None:
-    """Give an empty data folder its identity; leave any other as it is.
+    """Write the identity of an empty data folder; leave any other unchanged.
 
     Parameters
     ----------
     settings : ControlSettings
-        With `seeds`; `found_with_seeds` says whether the system starts for the
-        first time.
+        Settings with `seeds`; `found_with_seeds` tells whether the system starts
+        for the first time.
     files : Files, optional
         File operations.
 
     Raises
     ------
     StorageError
-        The disk fails.
+        The identity can't be written.
     """
     home = Path(settings.data_folder)
     if (home / IDENTITY_NAME).exists():
         return
-    # A crash before the identity was synced leaves nothing that was ever
-    # acknowledged, since the log is opened after it.
+    # The log is opened after the identity is synced. So files without an identity are
+    # left from a crash and hold nothing that was ever acknowledged.
     for name in (LOG_NAME, SNAPSHOT_NAME):
         (home / name).unlink(missing_ok=True)
     write_identity(settings.data_folder, initial_identity(settings), files or Files())
 
 
 def initial_identity(settings: ControlSettings) -> DiskIdentity:
-    """Make the identity of an empty disk: a founder's, or a joining one's."""
+    """Return the identity for an empty disk of a founding or joining instance."""
     hosts = sorted(seed.host for seed in settings.seeds)
     if settings.found_with_seeds and settings.node_id in hosts:
         members = Members({host: FOUNDER_PREFIX + host for host in hosts})
@@ -83,7 +82,7 @@
 
 
 def file_operations(identity: DiskIdentity) -> Files:
-    """Return the file operations for a folder: an observer's is temporary."""
+    """Return the file operations for a folder; an observer's needs no durability."""
     if identity.identity.startswith(OBSERVER_PREFIX):
         return VolatileFiles()
     return Files()
--- a/src/wisteriapulley/control/senders.py
+++ b/src/wisteriapulley/control/senders.py
@@ -1,4 +1,4 @@
-"""Who may say what to a control instance."""
+"""Checks of what a peer may send to a control instance."""
 
 from wisteriapulley.control.commands import (
     ALLOWED_COMMANDS,
@@ -11,12 +11,12 @@
 
 
 def check_sender(command: Command, link: Link) -> None:
-    """Refuse a command that the peer may not send, or not for that target.
+    """Raise if the peer's role may not send a command, or not for that target.
 
     Raises
     ------
     WireError
-        UNEXPECTED_MESSAGE.
+        UNEXPECTED_MESSAGE: the role may not send the command.
     """
     role = link.peer.role
     if not isinstance(command, ALLOWED_COMMANDS.get(role, ())):
@@ -29,15 +29,15 @@
 
 
 def check_node_id(node_id: str, link: Link) -> None:
-    """Refuse what a peer says in the name of another.
+    """Raise if a peer sends a message under another node id than its own.
 
     Raises
     ------
     WireError
-        UNEXPECTED_MESSAGE.
+        UNEXPECTED_MESSAGE: the node ids differ.
     """
     if node_id != link.peer_id:
         raise WireError(
             ResultCode.UNEXPECTED_MESSAGE,
-            f"expected {link.peer_id!r} to speak for itself, got {node_id!r}",
+            f"expected a message of {link.peer_id!r} about itself, got {node_id!r}",
         )
--- a/src/wisteriapulley/control/service.py
+++ b/src/wisteriapulley/control/service.py
@@ -1,4 +1,4 @@
-"""The control daemon: joins the replicated state to links and operators."""
+"""The control daemon: connects the replicated state to links and operators."""
 
 import asyncio
 import logging
@@ -48,9 +48,9 @@
 log = logging.getLogger(__name__)
 
 SWEEP_INTERVAL_S = 0.25
-# Changes that come together are told together.
+# Changes within this time are published in one batch.
 FLUSH_DELAY_S = 0.01
-# A target counts as gone when it stayed away so many member leases.
+# A target that is missing for this many member leases counts as gone.
 GONE_AFTER_LEASES = 2
 
 
@@ -77,8 +77,8 @@
         )
         self.release_tasks: dict[str, asyncio.Task] = {}
         self.flush_timer: asyncio.TimerHandle | None = None
-        # Makes the client of the weights' origin from its address; an adapter sets
-        # it before the start, where the routing table names an origin.
+        # Creates the client of the weights' origin from its address. A platform
+        # adapter sets it before the start if the routing table names an origin.
         self.open_origin: Callable[[str], PieceSource] | None = None
         self.entry_count = 0
         self.api = ControlApi(self)
@@ -92,11 +92,11 @@
 
     @classmethod
     def from_settings(cls, settings: ControlSettings) -> "ControlService":
-        """Make the service from checked settings."""
+        """Create the service from checked settings."""
         return cls(settings)
 
     async def start(self) -> None:
-        """Open the disk, listen, and join the peers."""
+        """Open the storage, start the listeners and connect to the peers."""
         settings = self.settings = ensure_data_folder(self.settings)
         self.identity = Identity.from_settings(settings, "control")
         self.members = MemberTable(
@@ -132,7 +132,7 @@
         self.sweep_task = asyncio.get_running_loop().create_task(self.sweep_loop())
 
     def new_peer_keeper(self, address: Address) -> ReconnectingLink:
-        """Make the keeper of the link to one peer."""
+        """Create the keeper of the link to one peer."""
         return ReconnectingLink(
             [address],
             self.identity,
@@ -143,7 +143,7 @@
         )
 
     def add_hosts(self, hosts: Iterable[str]) -> None:
-        """Keep links to instances that were found; their host is their node id."""
+        """Keep links to newly known instances; their host is their node id."""
         if not self.settings.seeds:
             return
         for host in hosts:
@@ -154,12 +154,12 @@
             self.peers[host].start()
 
     def publish_hosts(self) -> None:
-        """Meet new instances, and tell followers of them."""
+        """Publish newly known instances to followers, and connect to them."""
         if self.settings.seeds and self.publisher.publish_hosts():
             self.add_hosts(self.publisher.published_hosts.hosts)
 
     async def listen(self) -> None:
-        """Open both listeners."""
+        """Start the wire and HTTP listeners."""
         settings = self.settings
         self.server = LinkServer(
             self.identity,
@@ -176,8 +176,8 @@
         await self.http.start(settings.http_listen)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Stop listening, then stop the replica."""
-        # The lead is handed over while the links still are open.
+        """Hand leadership over, then stop the tasks, listeners and links."""
+        # Leadership is handed over while the links are still open.
         await self.driver.stop()
         self.sweep_task.cancel()
         self.publisher.target_feed.stop()
@@ -190,11 +190,15 @@
         await self.server.stop()
 
     def is_ready(self) -> bool:
-        """Ready when a leader is known and this disk has its vote."""
+        """Return whether a leader is known and this disk is a voter."""
         return self.driver.is_ready()
 
     def heartbeat(self) -> messages.Heartbeat:
-        """Make this instance's heartbeat; nodes leave one that knows no leader."""
+        """Return this instance's heartbeat.
+
+        Nodes disconnect from an instance whose heartbeat says that it knows no
+        leader.
+        """
         replica = self.driver.replica
         state = replica.role.state if replica.leader else ISOLATED_STATE
         return messages.Heartbeat(
@@ -207,7 +211,7 @@
         )
 
     def update_entry_count(self) -> None:
-        """Know how many entries there are, by what each instance says of its own."""
+        """Estimate the entries in the fleet from what each instance reports."""
         links = self.open_peer_links().values()
         others = (link.peer_heartbeat.followers for link in links)
         self.entry_count = entries_in_fleet(
@@ -217,7 +221,7 @@
     # -- the replicated state --------------------------------------------
 
     def on_applied(self, result: object) -> None:
-        """Tell watchers of a new revision, soon."""
+        """Schedule a flush if a command changed a revision or version."""
         changed = isinstance(result, ChangeResult) and result.code == ResultCode.OK
         changed = changed or isinstance(result, VersionResult)
         if changed and self.flush_timer is None:
@@ -225,18 +229,18 @@
             self.flush_timer = loop.call_later(FLUSH_DELAY_S, self.flush)
 
     def flush(self) -> None:
-        """Send watchers what is due, also a revision that a snapshot brought."""
+        """Send pending updates, including a revision restored from a snapshot."""
         self.flush_timer = None
         self.fanout.flush()
         self.publisher.publish_changes()
 
     async def propose(self, command: Command) -> bytes:
-        """Commit a command, here or through the leader's link.
+        """Commit a command, here or through the link to the leader.
 
         Raises
         ------
         WisteriapulleyError
-            NO_QUORUM: it is not known whether the command was committed.
+            NO_QUORUM: the command may or may not have been committed.
         """
         if self.driver.replica.is_leader:
             return encode(await self.driver.propose(command))
@@ -255,7 +259,7 @@
     # -- frames ----------------------------------------------------------
 
     async def handle(self, link: Link, frame: Frame) -> None:
-        """Handle a frame that is no reply."""
+        """Handle a frame that is not a reply."""
         if isinstance(frame.message, REPLICA_MESSAGES):
             if link.peer.role == "control":
                 self.driver.receive(frame.message)
@@ -264,10 +268,10 @@
 
     @singledispatchmethod
     async def receive(self, message: tuple, link: Link, frame: Frame) -> None:
-        """Take in a message, by its kind."""
+        """Dispatch a message by its type; reject types without a handler."""
         raise WireError(
             ResultCode.UNEXPECTED_MESSAGE,
-            f"control takes no {type(message).__name__}",
+            f"a control instance does not accept {type(message).__name__}",
         )
 
     @receive.register
@@ -294,7 +298,7 @@
         if link.peer.role == "control":
             lease = self.driver.own_lease()
             if lease is None:
-                raise no_quorum("this instance holds no lease")
+                raise no_quorum("this instance does not hold the leader lease")
         else:
             lease = await self.driver.lease()
         link.post(lease, reply_to=frame.id)
@@ -319,9 +323,12 @@
     ) -> None:
         """Handle the message `Announce`."""
         check_node_id(message.node_id, link)
-        held = self.member_links.get(message.node_id)
-        if held is not None and held.peer.incarnation > link.peer.incarnation:
-            log.warning("two processes announce %s", message.node_id)
+        known_link = self.member_links.get(message.node_id)
+        if (
+            known_link is not None
+            and known_link.peer.incarnation > link.peer.incarnation
+        ):
+            log.warning("two processes announce the node id %s", message.node_id)
             return
         self.member_links[message.node_id] = link
         self.publish_member_changes(self.members.record_announcement(message))
@@ -330,7 +337,7 @@
     async def receive_member_update(
         self, message: messages.MemberUpdate, link: Link, frame: Frame
     ) -> None:
-        """Handle the message `MemberUpdate`, from its owner's newest link only."""
+        """Handle the message `MemberUpdate`; only its owner's newest link counts."""
         check_node_id(message.owner, link)
         if self.peer_links.get(message.owner) is link:
             self.publish_member_changes(self.members.apply_update(message, steady_ms()))
@@ -339,7 +346,7 @@
     async def receive_report(
         self, message: messages.Report, link: Link, frame: Frame
     ) -> None:
-        """Handle the message `Report`: relayed ones never replace direct ones."""
+        """Handle the message `Report`; a relayed one never replaces a direct one."""
         if link.peer.role == "control":
             if message.node_id not in self.member_links:
                 self.reports.update(message, steady_ms())
@@ -434,7 +441,7 @@
     # -- members ---------------------------------------------------------
 
     async def send_state_to_peer(self, link: Link) -> None:
-        """Tell a peer all members that this instance owns."""
+        """Send a newly connected peer this instance's members, targets and reports."""
         self.publisher.record_peer(link.peer)
         link.post(self.members.full_update())
         link.post(self.publisher.target_feed.full_update())
@@ -444,17 +451,17 @@
                 link.post(self.reports.progress[node_id].report)
 
     def send_to_peers(self, message: tuple) -> None:
-        """Send to every peer that has an open link.
+        """Send a message to every peer that has an open link.
 
-        A peer whose link is stalled misses reports and beats; it gets them again
-        with the next ones. It never misses a change of members or targets.
+        Reports and heartbeats skip a peer whose link is stalled, since the next
+        ones supersede them. Changes of members or targets are always sent.
         """
-        may_miss = isinstance(message, messages.Report | messages.TargetBeats)
+        can_skip = isinstance(message, messages.Report | messages.TargetBeats)
         broadcast(
             (
                 link
                 for link in self.open_peer_links().values()
-                if not (may_miss and link.write_buffer_bytes() > MAX_BUFFERED_BYTES)
+                if not (can_skip and link.write_buffer_bytes() > MAX_BUFFERED_BYTES)
             ),
             message,
         )
@@ -465,7 +472,7 @@
         return {name: link for name, link in links.items() if link is not None}
 
     def publish_member_changes(self, changes: Changes) -> None:
-        """Tell peers of own members and watchers of the view."""
+        """Send own members to peers and changes of the view to watchers."""
         if changes.own:
             self.send_to_peers(
                 messages.MemberUpdate(
@@ -476,7 +483,7 @@
             self.fanout.publish_members(changes.view)
 
     def link_opened(self, link: Link) -> None:
-        """Remember a peer's newest link."""
+        """Record the newest link of a control instance."""
         if link.peer.role == "control":
             self.publisher.record_peer(link.peer)
             self.peer_links[link.peer_id] = link
@@ -484,7 +491,7 @@
             self.add_hosts((link.peer_id,))
 
     def link_closed(self, link: Link) -> None:
-        """Drop a watcher; members stay until their lease or grace ends."""
+        """Remove a watcher; members stay until their lease or grace period ends."""
         self.fanout.remove(link)
         self.publisher.followers.remove(link)
         name = link.peer_id
@@ -496,13 +503,13 @@
             self.members.detach(name, steady_ms())
 
     async def sweep_loop(self) -> None:
-        """Drop what has ended, and send what stalled links could not take."""
+        """Sweep periodically; this also retries updates for stalled links."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self.sweep(steady_ms())
 
     def sweep(self, now_ms: float) -> None:
-        """Drop members, reports and permits whose time has ended."""
+        """Expire members, reports and permits, and send pending updates."""
         if not self.members_complete and now_ms >= self.members_complete_at_ms:
             self.members_complete = True
             self.fanout.schedule_full_updates()
@@ -519,10 +526,10 @@
             self.flush()
 
     def release_permits(self, now_ms: float) -> None:
-        """Release permits of targets that are gone; only the leader does.
+        """Release permits of targets that are gone, on the leader only.
 
-        Each release is a command of the log, so an isolated leader's is never
-        committed, and it names one permit, so a late one frees no newer.
+        Each release is a log command, so an isolated leader's release is never
+        committed. It names one permit, so a delayed release can't free a newer one.
         """
         if self.driver.own_lease() is None:
             self.permit_sweeper.reset()
@@ -538,10 +545,10 @@
                 self.release_tasks[command.target] = task
 
     async def release_permit(self, command: ReleasePermit) -> None:
-        """Commit one release; a lost one is proposed again by the next sweep."""
+        """Commit one release; the next sweep retries a failed one."""
         try:
             await self.driver.propose(command)
         except WisteriapulleyError as error:
-            log.info("permit of %s not released: %s", command.target, error)
+            log.info("permit of target %s not released: %s", command.target, error)
         finally:
             self.release_tasks.pop(command.target, None)
--- a/src/wisteriapulley/control/suspect_feed.py
+++ b/src/wisteriapulley/control/suspect_feed.py
@@ -1,4 +1,4 @@
-"""Passes on under which requests targets ended, from each entry to all others."""
+"""Forwards crash suspects, the requests during which targets ended, to all entries."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,32 +9,32 @@
 from wisteriapulley.policy.token_bucket import TokenBucket
 from wisteriapulley.wire import Link, messages
 
-# News of requests under which fewer than two targets ended that one instance passes
-# on in a second, and at once. Load: hundreds of targets end together, under
-# thousands of requests. Harm prevented: each of these would be told to each entry.
-# One that goes on ending targets is told in any case.
+# Rate and burst at which one instance forwards suspects during which only one target
+# ended. If hundreds of targets end together, each of their thousands of requests is a
+# suspect, and each would be sent to each entry. A suspect during which more targets
+# ended is always forwarded.
 NEW_SUSPECTS_PER_S = 100.0
 NEW_SUSPECTS_BURST = 300.0
-# Targets that ended under a request of which news are bounded so.
+# Highest number of ended targets for which a suspect is rate-limited.
 MAX_RATE_LIMITED_ENDS = 1
 
 
 class SuspectFeed:
-    """News of suspects on their way through one control instance.
+    """Forwards suspects through one control instance.
 
     Parameters
     ----------
     followers : Followers
-        Entries that follow this instance.
-    tell_peers : callable
+        Followers of this instance; its entries get the suspects.
+    send_to_peers : callable
         Sends a message to every other control instance.
 
     Attributes
     ----------
     suspects : CrashSuspects
-        What is known here.
+        The suspects recorded here.
     store : SuspectStore or None
-        Where quarantined requests are kept; set once there is a data folder.
+        Store of quarantined requests; set once there is a data folder.
     """
 
     def __init__(self, followers: Followers, send_to_peers: Callable[[tuple], None]):
@@ -45,33 +45,33 @@
         self.new_suspects = TokenBucket(NEW_SUSPECTS_PER_S, NEW_SUSPECTS_BURST)
 
     def restore(self, store: SuspectStore) -> None:
-        """Take in what the disk holds, and keep it there from now on."""
+        """Load the quarantined requests from `store`, and save to it from now on."""
         self.store = store
         self.suspects.merge_updates(store.load(), steady_s())
 
     def observe(self, message: messages.SuspectNews, from_entry: bool) -> None:
-        """Take news in, and pass on what was not known.
+        """Record suspects, and forward those that changed.
 
         Parameters
         ----------
-        news : SuspectNews
-            What an entry or another instance tells.
+        message : SuspectNews
+            Message from an entry or another instance.
         from_entry : bool
-            Whether other instances still have to be told: one that was told by an
-            entry tells them all itself.
+            Whether an entry sent the message. Then this instance forwards it to all
+            other instances; an instance that gets it from another one does not.
         """
         before = self.suspects.quarantined()
         changed = self.suspects.merge_updates(message.suspects, steady_s())
-        told = self.message_for(filter(self.may_forward, changed))
-        if told.suspects:
-            self.followers.push_suspects(told)
+        forwarded = self.message_for(filter(self.may_forward, changed))
+        if forwarded.suspects:
+            self.followers.push_suspects(forwarded)
             if from_entry:
-                self.send_to_peers(told)
+                self.send_to_peers(forwarded)
         if before != self.suspects.quarantined():
             self.save()
 
     def may_forward(self, digest: bytes) -> bool:
-        """Tell whether news of a request go on to others."""
+        """Return whether a suspect may be forwarded now."""
         record = self.suspects.records.get(digest)
         if record is None:
             return False
@@ -80,20 +80,20 @@
         )
 
     def save(self) -> None:
-        """Write the quarantined requests."""
+        """Save the quarantined requests."""
         if self.store is not None:
             self.store.save(self.message_for(self.suspects.quarantined()).suspects)
 
     def message_for(self, digests: Iterable[bytes]) -> messages.SuspectNews:
-        """Make the news of some requests."""
+        """Return a message with the suspects of `digests`."""
         return messages.SuspectNews(tuple(self.suspects.updates(steady_s(), digests)))
 
     def send_all(self, link: Link) -> None:
-        """Tell a new link what it needs to know."""
-        news = self.message_for(self.suspects.top_suspects())
-        if news.suspects:
-            link.post(news)
+        """Send the suspects with the highest weight over a new link."""
+        message = self.message_for(self.suspects.top_suspects())
+        if message.suspects:
+            link.post(message)
 
     def sweep(self) -> None:
-        """Forget what is long past."""
+        """Expire old suspects."""
         self.suspects.remove_expired(steady_s())
--- a/src/wisteriapulley/control/suspect_store.py
+++ b/src/wisteriapulley/control/suspect_store.py
@@ -1,4 +1,4 @@
-"""Keeps quarantined requests over a restart of all processes."""
+"""Stores quarantined requests so that they survive a restart of all processes."""
 
 import asyncio
 import logging
@@ -18,7 +18,7 @@
 
 
 class StoredSuspect(msgspec.Struct, frozen=True, array_like=True):
-    """One request on disk; see `wire.messages.Suspect`.
+    """One suspect on disk; see `wire.messages.Suspect`.
 
     `at_s` is the Unix time at which the last target ended.
     """
@@ -30,11 +30,11 @@
 
 
 class SuspectStore:
-    """A small file in a control instance's data folder.
+    """Stores suspects in a small file in a control instance's data folder.
 
-    What it holds is told by entries and by other instances too; only when all of
-    them end at the same moment is it the last copy. So a failure to write is logged,
-    and nothing waits for a write.
+    Entries and other instances hold the same suspects, and this file is the last copy
+    only if all of them end at the same time. So a failed write is only logged, and
+    nothing waits for a write.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
         self.write_task: asyncio.Task | None = None
 
     def load(self) -> tuple[Suspect, ...]:
-        """Read what is on the disk; nothing where it can't be read."""
+        """Read the stored suspects; return none if the file can't be read."""
         try:
             stored = msgspec.msgpack.decode(
                 self.path.read_bytes(), type=tuple[StoredSuspect, ...]
@@ -68,7 +68,7 @@
         )
 
     def save(self, suspects: Iterable[Suspect]) -> None:
-        """Write soon; while one write goes on, only the newest content waits."""
+        """Schedule a write; during a write only the newest content is kept pending."""
         now_s = time.time()
         stored = tuple(
             StoredSuspect(s.digest, s.cleared, s.ended, now_s - s.age_s)
@@ -81,7 +81,7 @@
             )
 
     async def write_pending(self) -> None:
-        """Write until nothing newer waits; a disk that stalls blocks nobody."""
+        """Write until no content is pending, in a thread as the disk may stall."""
         try:
             while self.pending_content is not None:
                 data, self.pending_content = self.pending_content, None
--- a/src/wisteriapulley/control/target_feed.py
+++ b/src/wisteriapulley/control/target_feed.py
@@ -1,11 +1,11 @@
-"""Tells followers and the other control instances of targets, in batches.
-
-Load: each target announces itself every second or so at some control instance, and
-hundreds of entries and sidecars want to know of each. Harm prevented: passing each
-announcement on by itself costs one frame for each target and each follower, 8,000 a
-second for 102 targets at 12 instances. So only what changed is passed on, all that
-came within some milliseconds in one frame, and once a second one frame says which
-targets were heard again. Whoever missed news sees it there, and asks for them.
+"""Publishes targets to followers and the other control instances, in batches.
+
+Each target announces itself about once a second at some control instance, and
+hundreds of entries and sidecars need the state of each. Forwarding each announcement
+by itself would cost one frame for each target and each follower, which is 8,000 frames
+a second for 102 targets at 12 instances. So only changes are forwarded, and those
+within some milliseconds share one frame. Once a second one frame lists the targets
+observed since. A receiver that missed an update notices it there, and requests it.
 """
 
 import asyncio
@@ -17,24 +17,24 @@
 from wisteriapulley.wire import Link, messages
 from wisteriapulley.wire.messages import TargetBeats, TargetQuery, TargetState
 
-# What changes within this time goes out together: far below the time in which a
-# leaving target must have no new work, and long enough for a burst of starts.
+# Changes within this delay share one frame. It is far below the time within which a
+# leaving target must get no new requests, and long enough for a burst of starts.
 BATCH_DELAY_S = 0.02
-# How often followers hear which targets are still there: below the silence after
-# which they take the control instances for away.
+# Interval of target heartbeats to followers; below the silence after which they treat
+# the control instances as unreachable.
 HEARTBEAT_INTERVAL_S = 1.0
 
 
 class TargetFeed:
-    """News of targets on their way out of one control instance.
+    """Publishes the targets of one control instance.
 
     Parameters
     ----------
     targets : TargetTable
-        What is known of them.
+        Newest state of each target.
     followers : Followers
         Entries and sidecars that follow this instance.
-    tell_peers : callable
+    send_to_peers : callable
         Sends a message to every other control instance.
     """
 
@@ -55,7 +55,7 @@
     # -- changes ---------------------------------------------------------
 
     def observe_announcement(self, state: TargetState) -> Change:
-        """Take in what a target announces here."""
+        """Record an announcement that a target sent to this instance."""
         change = self.targets.update(state, steady_ms())
         if change:
             self.pending_for_peers.add(state.target_id)
@@ -63,14 +63,14 @@
         return change
 
     def record_end(self, target_id: str) -> TargetState:
-        """Take in a target's word that it ends; return the news of it."""
+        """Record that a target shuts down; return its final state."""
         state = self.targets.mark_gone(target_id, steady_ms())
         self.pending_for_peers.add(target_id)
         self.queue_change(target_id, Change.MEMBERSHIP)
         return state
 
     def observe_peer_update(self, states: Iterable[TargetState]) -> None:
-        """Take in what another instance tells."""
+        """Record targets that another instance published."""
         now_ms = steady_ms()
         for state in states:
             change = self.targets.update(state, now_ms, direct=False)
@@ -78,7 +78,7 @@
                 self.queue_change(state.target_id, change)
 
     def queue_change(self, target_id: str, change: Change) -> None:
-        """Tell of a target with all that changes in these milliseconds."""
+        """Queue a change for the next batch."""
         known = self.pending_for_followers.get(target_id, Change.NONE)
         self.pending_for_followers[target_id] = max(known, change)
         if self.flush_timer is None:
@@ -86,7 +86,7 @@
             self.flush_timer = loop.call_later(BATCH_DELAY_S, self.flush)
 
     def flush(self) -> None:
-        """Send what changed."""
+        """Send the queued changes."""
         self.flush_timer = None
         changes, self.pending_for_followers = self.pending_for_followers, {}
         peers, self.pending_for_peers = self.pending_for_peers, set()
@@ -96,10 +96,10 @@
         if states:
             self.send_to_peers(messages.TargetNews(states))
 
-    # -- what still is there ---------------------------------------------
+    # -- heartbeats ------------------------------------------------------
 
     def send_heartbeats_if_due(self, now_ms: float) -> None:
-        """Tell once a second which targets were heard again."""
+        """Send heartbeats of recently observed targets, once per interval."""
         since_ms = self.last_heartbeats_ms
         if now_ms - since_ms < HEARTBEAT_INTERVAL_S * 1000:
             return
@@ -110,7 +110,7 @@
             self.send_to_peers(TargetBeats(direct))
 
     def observe_heartbeats(self, message: TargetBeats, link: Link) -> None:
-        """Take in which targets another instance heard; ask for missed news."""
+        """Record heartbeats from another instance; request missed updates."""
         now_ms = steady_ms()
         missed = [
             beat.target_id
@@ -121,16 +121,16 @@
             link.post(TargetQuery(tuple(missed)))
 
     def answer_query(self, query: TargetQuery, link: Link) -> None:
-        """Answer with the news of some targets."""
+        """Reply with the state of the requested targets."""
         states = tuple(self.targets.states(steady_ms(), query.target_ids))
         if states:
             link.post(messages.TargetNews(states))
 
     def full_update(self) -> messages.TargetNews:
-        """Make the news of all targets known here."""
+        """Return the state of all known targets."""
         return messages.TargetNews(tuple(self.targets.states(steady_ms())))
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Cancel the pending batch."""
         if self.flush_timer is not None:
             self.flush_timer.cancel()
