--- a/src/wisteriapulley/control/fanout.py
+++ b/src/wisteriapulley/control/fanout.py
@@ -45,10 +45,10 @@
         The accepted catalogue.
     members : Mapping
         The view of the members, by node id.
-    is_settled : callable
-        Whether the view is complete. Until then updates only add members and
-        never replace a watcher's list, so that an instance that has just started
-        does not remove targets from entries.
+    is_view_complete : callable
+        Whether the view is complete. Until then watchers keep members that the
+        view lacks, so that an instance that has just started does not remove
+        targets from entries.
     """
 
     def __init__(
@@ -81,11 +81,11 @@
     def publish_members(self, changes: Iterable[messages.Announce]) -> None:
         """Send changed members to the watchers of their services."""
         for watcher in self.watchers.values():
-            concerned = filter_by_service(changes, watcher.services)
-            if not concerned or watcher.members_due:
+            relevant = filter_by_service(changes, watcher.services)
+            if not relevant or watcher.members_due:
                 continue
             if watcher.is_writable:
-                watcher.link.post(messages.MemberUpdate("", 0, False, concerned))
+                watcher.link.post(messages.MemberUpdate("", 0, False, relevant))
             else:
                 watcher.members_due = True
 
--- a/src/wisteriapulley/control/followers.py
+++ b/src/wisteriapulley/control/followers.py
@@ -91,10 +91,10 @@
         if members:
             broadcast(self.open_links(SIDECAR), messages.TargetNews(members))
 
-    def push_heartbeats(self, beats: tuple[messages.TargetBeat, ...]) -> None:
+    def push_heartbeats(self, heartbeats: tuple[messages.TargetBeat, ...]) -> None:
         """Send target heartbeats to entries."""
-        if beats:
-            broadcast(self.open_links(ENTRY), messages.TargetBeats(beats))
+        if heartbeats:
+            broadcast(self.open_links(ENTRY), messages.TargetBeats(heartbeats))
 
     def push_suspects(self, message: messages.SuspectNews) -> None:
         """Send entries the requests during which targets ended."""
--- a/src/wisteriapulley/control/pieces.py
+++ b/src/wisteriapulley/control/pieces.py
@@ -76,9 +76,9 @@
         from outside the region.
         """
         own = self.regions.of(self.settings.failure_domain)
-        head = self.lowest_peer_in(own)
-        if head is not None and head.peer_id < self.settings.node_id:
-            return head
+        lowest = self.lowest_peer_in(own)
+        if lowest is not None and lowest.peer_id < self.settings.node_id:
+            return lowest
         return None if own == home else self.lowest_peer_in(home)
 
     def lowest_peer_in(self, region: str) -> Link | None:
--- a/src/wisteriapulley/control/publisher.py
+++ b/src/wisteriapulley/control/publisher.py
@@ -74,7 +74,8 @@
     def publish_restored(self) -> None:
         """Publish the state restored from disk.
 
-        Its versions count as desired since long ago, since when is not stored.
+        The time at which its versions became desired is not stored, so they count as
+        desired long ago.
         """
         for model, version in self.state.weights.items():
             self.versions.record(model, version, steady_ms() - RESTORED_AGE_MS)
--- a/src/wisteriapulley/control/quorum_members.py
+++ b/src/wisteriapulley/control/quorum_members.py
@@ -59,7 +59,8 @@
         replica = self.service.driver.replica
         if self.service.driver.own_lease() is None:
             raise no_quorum(
-                f"the leader is {replica.leader or 'unknown'}; send the request to it"
+                "this instance is not the leader; send the request to"
+                f" {replica.leader or 'the leader once it is elected'}"
             )
         return replica
 
--- a/src/wisteriapulley/control/seeds.py
+++ b/src/wisteriapulley/control/seeds.py
@@ -40,8 +40,8 @@
         return settings
     folder = tempfile.mkdtemp(prefix="control-")
     identity = OBSERVER_PREFIX + new_identity()
-    held = DiskIdentity(settings.node_id, identity, Members({}))
-    write_identity(folder, held, VolatileFiles())
+    disk_identity = DiskIdentity(settings.node_id, identity, Members({}))
+    write_identity(folder, disk_identity, VolatileFiles())
     return msgspec.structs.replace(settings, data_folder=folder)
 
 
--- a/src/wisteriapulley/control/senders.py
+++ b/src/wisteriapulley/control/senders.py
@@ -16,7 +16,7 @@
     Raises
     ------
     WireError
-        UNEXPECTED_MESSAGE: the role may not send the command.
+        UNEXPECTED_MESSAGE: the peer may not send the command.
     """
     role = link.peer.role
     if not isinstance(command, ALLOWED_COMMANDS.get(role, ())):
--- a/src/wisteriapulley/control/service.py
+++ b/src/wisteriapulley/control/service.py
@@ -254,7 +254,7 @@
                 lambda: self.driver.replica.leader == link.peer_id,
             )
         except WireError as error:
-            raise no_quorum(f"the leader's answer was lost: {error}") from error
+            raise no_quorum(f"the leader's reply was lost: {error}") from error
 
     # -- frames ----------------------------------------------------------
 
--- a/src/wisteriapulley/control/target_feed.py
+++ b/src/wisteriapulley/control/target_feed.py
@@ -113,9 +113,9 @@
         """Record heartbeats from another instance; request missed updates."""
         now_ms = steady_ms()
         missed = [
-            beat.target_id
-            for beat in message.beats
-            if not self.targets.record_heartbeat(beat, now_ms)
+            heartbeat.target_id
+            for heartbeat in message.beats
+            if not self.targets.record_heartbeat(heartbeat, now_ms)
         ]
         if missed:
             link.post(TargetQuery(tuple(missed)))
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -1,4 +1,4 @@
-"""What a node holds of the control plane, against stand-in instances."""
+"""ControlClient against fake control instances, and forwarding to the leader."""
 
 import asyncio
 
@@ -30,8 +30,8 @@
     return Identity(name, role, "d", 1, KEY)
 
 
-class Instance:
-    """A control instance that answers watches and has no quorum."""
+class FakeInstance:
+    """A fake control instance that answers watch requests and has no quorum."""
 
     def __init__(self, name, revision, fresh):
         self.image = CatalogueImage(revision, {})
@@ -93,8 +93,8 @@
 
 
 class TestControlClient:
-    def test_want_of_a_quorum_is_answered(self):
-        """Regression: the failure was dropped and the node waited in vain."""
+    def test_proposal_without_quorum_fails(self):
+        """Regression: the failure reply was dropped, and the node kept waiting."""
 
         async def scenario(client):
             await until(lambda: client.keeper.open_link)
@@ -103,11 +103,11 @@
             assert caught.value.code == ResultCode.NO_QUORUM
             assert "isolated" in caught.value.message
 
-        run(scenario, Instance("c1", 1, True))
+        run(scenario, FakeInstance("c1", 1, True))
 
-    def test_pulls_when_a_heartbeat_is_ahead(self):
-        """Regression: a lost push was never made up for."""
-        instance = Instance("c1", 1, True)
+    def test_pulls_if_heartbeat_has_newer_revision(self):
+        """Regression: a node never caught up after a lost push."""
+        instance = FakeInstance("c1", 1, True)
 
         async def scenario(client):
             await until(lambda: client.catalogue.revision == 1)
@@ -116,11 +116,11 @@
 
         run(scenario, instance)
 
-    def test_leaves_an_isolated_instance_for_another(self, monkeypatch):
+    def test_switches_from_isolated_to_healthy_instance(self, monkeypatch):
         monkeypatch.setattr(
             "wisteriapulley.control.client.ISOLATED_TIMEOUT_S", ISOLATED_TIMEOUT_S / 100
         )
-        isolated, healthy = Instance("c1", 9, False), Instance("c2", 5, True)
+        isolated, healthy = FakeInstance("c1", 9, False), FakeInstance("c2", 5, True)
         isolated.state = ISOLATED_STATE
 
         async def scenario(client):
@@ -132,18 +132,18 @@
         run(scenario, isolated, healthy)
 
 
-class Unanswered:
-    """A link to a frozen leader: no reply ever comes."""
+class FrozenLeaderLink:
+    """A link to a frozen leader, which never replies."""
 
     def __init__(self):
-        self.waits = 0
+        self.calls = 0
         self.open = True
 
     def call(self, message):
         return self
 
     async def reply(self, timeout_s):
-        self.waits += 1
+        self.calls += 1
         raise WireError(ResultCode.LINK_TIMEOUT, "frozen")
 
     def close(self):
@@ -151,15 +151,15 @@
 
 
 class TestForward:
-    def test_stops_waiting_once_another_leads(self):
-        """Regression: a frozen leader held each forwarded claim for 3.5 s."""
-        link = Unanswered()
+    def test_stops_waiting_after_leader_change(self):
+        """Regression: a frozen leader delayed each forwarded claim by 3.5 s."""
+        link = FrozenLeaderLink()
         with pytest.raises(WireError):
-            asyncio.run(forward(link, messages.Propose(), lambda: link.waits < 3))
-        assert (link.waits, link.open) == (3, False)
+            asyncio.run(forward(link, messages.Propose(), lambda: link.calls < 3))
+        assert (link.calls, link.open) == (3, False)
 
-    def test_gives_up_on_a_leader_that_never_answers(self):
-        link = Unanswered()
+    def test_times_out_if_leader_never_replies(self):
+        link = FrozenLeaderLink()
         with pytest.raises(WireError):
             asyncio.run(forward(link, messages.Propose(), lambda: True))
-        assert link.waits == int(FORWARD_TIMEOUT_S / LEADER_CHECK_INTERVAL_S)
+        assert link.calls == int(FORWARD_TIMEOUT_S / LEADER_CHECK_INTERVAL_S)
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -1,4 +1,4 @@
-"""Watchers with open, slow and frozen links."""
+"""Updates to watchers with open, slow and frozen links; reports of nodes."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class FakeLink:
-    """Records what is posted; `buffered` is what the socket has not taken."""
+    """Records posted messages; `buffered` is the size of the write buffer."""
 
     def __init__(self):
         self.closed = asyncio.Event()
@@ -36,15 +36,17 @@
 
 
 class TestFanout:
-    def filled(self, settled=True):
+    def new_fanout(self, is_complete=True):
         catalogue = Catalogue()
-        fanout = Fanout(catalogue, {"t": Announce("t", service="s")}, lambda: settled)
+        fanout = Fanout(
+            catalogue, {"t": Announce("t", service="s")}, lambda: is_complete
+        )
         link = FakeLink()
         fanout.add(link, ())
         return catalogue, fanout, link
 
-    def test_frozen_watcher_gets_only_the_newest_revision(self):
-        catalogue, fanout, link = self.filled()
+    def test_frozen_watcher_gets_only_newest_revision(self):
+        catalogue, fanout, link = self.new_fanout()
         link.buffered = MAX_BUFFERED_BYTES
         for number in range(50):
             accept(catalogue, number)
@@ -56,42 +58,42 @@
         assert [u.revision for u in link.updates()] == [50]
         assert link.posted[-1].full
 
-    def test_push_never_counts_as_confirmed(self):
-        """Regression: a replayed log's old revisions made a node ready."""
-        catalogue, fanout, link = self.filled()
+    def test_push_does_not_confirm_catalogue(self):
+        """Regression: old revisions pushed during log replay made a node ready."""
+        catalogue, fanout, link = self.new_fanout()
         accept(catalogue, 1)
         fanout.flush()
-        holder = LocalCatalogue()
-        assert not holder.apply_update(link.updates()[0])
-        assert (holder.confirmed, holder.revision) == (False, 0)
+        local = LocalCatalogue()
+        assert not local.apply_update(link.updates()[0])
+        assert (local.confirmed, local.revision) == (False, 0)
 
-    def test_unsettled_instance_makes_no_watcher_forget(self):
-        _, _, link = self.filled(settled=False)
+    def test_incomplete_view_does_not_remove_members_at_watcher(self):
+        _, _, link = self.new_fanout(is_complete=False)
         assert not link.posted[0].full
 
-    def test_known_revision_is_not_sent_again(self):
-        catalogue, fanout, _ = self.filled()
+    def test_known_revision_has_no_content(self):
+        catalogue, fanout, _ = self.new_fanout()
         accept(catalogue, 1)
         assert fanout.catalogue_update(True, known=1).content == b""
 
 
-class TestCatalogueHolder:
+class TestLocalCatalogue:
     def update(self, revision, fresh):
         content = msgspec.msgpack.encode(CatalogueImage(revision, {}))
         return CatalogueUpdate(revision, fresh, content)
 
-    def test_revision_never_goes_down(self):
-        holder = LocalCatalogue()
-        assert holder.apply_update(self.update(5, True))
-        assert not holder.apply_update(self.update(4, True))
-        assert holder.apply_update(self.update(6, False))
-        assert holder.revision == 6
+    def test_revision_never_decreases(self):
+        local = LocalCatalogue()
+        assert local.apply_update(self.update(5, True))
+        assert not local.apply_update(self.update(4, True))
+        assert local.apply_update(self.update(6, False))
+        assert local.revision == 6
 
-    def test_restarted_node_takes_nothing_from_an_isolated_instance(self):
-        holder = LocalCatalogue()
-        assert not holder.apply_update(self.update(5, False))
-        assert (holder.revision, holder.confirmed) == (0, False)
-        assert holder.apply_update(self.update(9, True))
+    def test_restarted_node_ignores_isolated_instance(self):
+        local = LocalCatalogue()
+        assert not local.apply_update(self.update(5, False))
+        assert (local.revision, local.confirmed) == (0, False)
+        assert local.apply_update(self.update(9, True))
 
 
 class TestReportTable:
@@ -105,20 +107,20 @@
             **values,
         )
 
-    def test_report_of_an_earlier_incarnation_is_dropped(self):
+    def test_report_of_earlier_incarnation_is_ignored(self):
         table = ReportTable()
         assert table.update(self.report(2, state="open"), 0)
         assert not table.update(self.report(1, state="empty"), 1)
         assert table.progress["t"].report.state == "open"
 
-    def test_remaining_time_follows_the_rate(self):
+    def test_remaining_time_follows_rate(self):
         table = ReportTable()
         for second in range(4):
             table.update(self.report(done=1000 * second), 1000 * second)
         row = next(table.rows({"t": Announce("t", 1)}))
         assert round(row.remaining_s, 3) == 7.0
 
-    def test_silent_member_has_a_row_and_a_gone_one_none(self):
+    def test_unreported_member_has_row_and_removed_one_has_none(self):
         table = ReportTable()
         table.update(self.report(), 0)
         table.prune({"u": Announce("u", 1)})
--- a/tests/test_control_isolated.py
+++ b/tests/test_control_isolated.py
@@ -1,4 +1,4 @@
-"""A leader that is cut off, driven with real disks and a virtual clock."""
+"""Leader isolation with real disks and a virtual clock."""
 
 import asyncio
 
@@ -23,29 +23,29 @@
 EXPIRES_MS = driver_module.unix_ms() + 300_000
 
 
-class Path:
-    """One way between two instances; messages arrive with the next step."""
+class FakePeer:
+    """One direction between two instances; messages arrive in the next step."""
 
-    def __init__(self, trio, sender, receiver):
-        self.trio = trio
+    def __init__(self, cluster, sender, receiver):
+        self.cluster = cluster
         self.ends = {sender, receiver}
         self.receiver = receiver
 
     @property
     def open_link(self):
-        return None if self.trio.cut in self.ends else self
+        return None if self.cluster.isolated in self.ends else self
 
     def post(self, message):
-        self.trio.queue.append((self, message))
+        self.cluster.queue.append((self, message))
 
 
-class Trio:
-    """Three drivers; `cut` names the instance that reaches nobody."""
+class Cluster:
+    """Three drivers; `isolated` names the instance that is cut off."""
 
     now_ms = 0.0
 
     def __init__(self, folder):
-        self.cut = ""
+        self.isolated = ""
         self.queue = []
         self.drivers = {name: self.open(folder / name, name) for name in VOTERS}
 
@@ -63,40 +63,44 @@
             data_folder=str(folder),
             operators_file="",
         )
-        paths = {other: Path(self, name, other) for other in VOTERS if other != name}
+        peers = {
+            other: FakePeer(self, name, other) for other in VOTERS if other != name
+        }
         fatal = pytest.fail
-        return Driver(settings, ControlState(), paths, lambda result: None, fatal)
+        return Driver(settings, ControlState(), peers, lambda result: None, fatal)
 
-    async def pass_ms(self, duration_ms):
-        end_ms = Trio.now_ms + duration_ms
-        while Trio.now_ms < end_ms:
-            Trio.now_ms += STEP_MS
+    async def advance_ms(self, duration_ms):
+        end_ms = Cluster.now_ms + duration_ms
+        while Cluster.now_ms < end_ms:
+            Cluster.now_ms += STEP_MS
             for driver in self.drivers.values():
-                driver.replica.tick(Trio.now_ms)
+                driver.replica.tick(Cluster.now_ms)
                 await driver.process_ready()
             arriving, self.queue = self.queue, []
-            for path, message in arriving:
-                if path.open_link is not None:
-                    self.drivers[path.receiver].receive(message)
+            for peer, message in arriving:
+                if peer.open_link is not None:
+                    self.drivers[peer.receiver].receive(message)
             await asyncio.sleep(0)
 
     def leader(self):
-        led = [d for n, d in self.drivers.items() if n != self.cut and d.own_lease()]
-        assert len(led) == 1
-        return led[0]
+        leaders = [
+            d for n, d in self.drivers.items() if n != self.isolated and d.own_lease()
+        ]
+        assert len(leaders) == 1
+        return leaders[0]
 
     async def commit(self, *commands):
         leader = self.leader()
         tasks = [asyncio.ensure_future(leader.propose(c)) for c in commands]
-        await self.pass_ms(500)
+        await self.advance_ms(500)
         return [task.result() for task in tasks]
 
 
-def bid(target):
+def put_claim(target):
     return PutClaim(KEY, Claim(b"body", target, 1, 1, EXPIRES_MS), 0)
 
 
-def switch(target):
+def acquire_permit(target):
     return AcquirePermit("s", "galway", target, 1, VERSION, True)
 
 
@@ -106,49 +110,53 @@
 
 
 @pytest.fixture
-def trio(tmp_path, monkeypatch):
-    monkeypatch.setattr(driver_module, "steady_ms", lambda: Trio.now_ms)
-    Trio.now_ms = 0.0
-    return Trio(tmp_path)
+def cluster(tmp_path, monkeypatch):
+    monkeypatch.setattr(driver_module, "steady_ms", lambda: Cluster.now_ms)
+    Cluster.now_ms = 0.0
+    return Cluster(tmp_path)
 
 
 class TestIsolatedLeader:
-    def test_grants_no_permit_and_changes_no_claim(self, trio):
+    def test_isolated_leader_commits_no_permit_and_no_claim(self, cluster):
         async def scenario():
-            await trio.pass_ms(4000)
-            await trio.commit(catalogue())
-            old = trio.leader()
-            trio.cut = old.settings.node_id
+            await cluster.advance_ms(4000)
+            await cluster.commit(catalogue())
+            isolated_leader = cluster.leader()
+            cluster.isolated = isolated_leader.settings.node_id
             pending = [
-                asyncio.ensure_future(old.propose(c)) for c in (switch("t1"), bid("t1"))
+                asyncio.ensure_future(isolated_leader.propose(c))
+                for c in (acquire_permit("t1"), put_claim("t1"))
             ]
-            await trio.pass_ms(6000)
-            assert old.own_lease() is None
-            assert (old.state.permits.permits, old.state.claims.claims) == ({}, {})
+            await cluster.advance_ms(6000)
+            assert isolated_leader.own_lease() is None
+            assert (
+                isolated_leader.state.permits.permits,
+                isolated_leader.state.claims.claims,
+            ) == ({}, {})
             with pytest.raises(WisteriapulleyError) as caught:
-                await old.propose(switch("t1"))
+                await isolated_leader.propose(acquire_permit("t1"))
             assert caught.value.code == ResultCode.NO_QUORUM
-            granted = await trio.commit(switch("t2"), bid("t2"))
+            granted = await cluster.commit(acquire_permit("t2"), put_claim("t2"))
             assert [result.code for result in granted] == [ResultCode.OK] * 2
-            trio.cut = ""
-            await trio.pass_ms(4000)
+            cluster.isolated = ""
+            await cluster.advance_ms(4000)
             return await asyncio.gather(*pending, return_exceptions=True)
 
         outcomes = asyncio.run(scenario())
         assert [o.code for o in outcomes] == [ResultCode.NO_QUORUM] * 2
-        states = [driver.state for driver in trio.drivers.values()]
+        states = [driver.state for driver in cluster.drivers.values()]
         assert len({state.snapshot() for state in states}) == 1
         assert set(states[0].permits.permits) == {"t2"}
         assert states[0].claims.claims[KEY].target == "t2"
 
-    def test_acknowledged_change_outlives_its_leader(self, trio):
+    def test_acknowledged_change_survives_isolation_of_leader(self, cluster):
         async def scenario():
-            await trio.pass_ms(4000)
-            await trio.commit(catalogue())
-            trio.cut = trio.leader().settings.node_id
-            await trio.pass_ms(6000)
-            (again,) = await trio.commit(catalogue())
-            return again
-
-        again = asyncio.run(scenario())
-        assert (again.code, again.revision) == (ResultCode.OK, 1)
+            await cluster.advance_ms(4000)
+            await cluster.commit(catalogue())
+            cluster.isolated = cluster.leader().settings.node_id
+            await cluster.advance_ms(6000)
+            (result,) = await cluster.commit(catalogue())
+            return result
+
+        result = asyncio.run(scenario())
+        assert (result.code, result.revision) == (ResultCode.OK, 1)
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -1,4 +1,4 @@
-"""What a control instance tells of weights that are in force."""
+"""Weights in force that a control instance publishes."""
 
 from tests.fakes.links import WrittenLink
 from wisteriapulley.control.publisher import Publisher
@@ -11,7 +11,7 @@
 
 
 class Instance:
-    """One instance's news, with one follower."""
+    """The publisher of one control instance, with one follower."""
 
     def __init__(self):
         settings = ControlSettings(
@@ -23,22 +23,22 @@
             data_folder="",
             operators_file="",
         )
-        self.fetched = []
-        self.told = []
+        self.prefetched = []
+        self.sent_to_peers = []
         self.state = ControlState()
-        self.news = Publisher(
+        self.publisher = Publisher(
             settings,
             self.state,
-            lambda *key: self.fetched.append(key),
-            self.told.append,
+            lambda *key: self.prefetched.append(key),
+            self.sent_to_peers.append,
         )
         service = Service("s", engine=Engine("m"))
-        self.news.table = RoutingTable(1, services=(service,))
+        self.publisher.table = RoutingTable(1, services=(service,))
         self.link = WrittenLink()
-        self.news.followers.add(self.link)
+        self.publisher.followers.add(self.link)
 
-    def named(self):
-        """Return the versions that the follower was told of, newest last."""
+    def published_versions(self):
+        """Return the versions sent to the follower, newest last."""
         return [
             version.version
             for message in self.link.taken
@@ -48,41 +48,41 @@
         ]
 
 
-def news_of(version, age_ms=0):
+def models_of(version, age_ms=0):
     return ModelNews((ModelState("s", "m", (VersionAge(version, age_ms),)),))
 
 
 class TestWeightsInForce:
-    def test_word_of_another_instance_comes_before_the_own_log(self):
-        """Load: the log is late behind copies; requests begin on replaced weights."""
+    def test_update_of_peer_is_published_before_own_log(self):
+        """Downloads delay the own log; requests would start on superseded weights."""
         instance = Instance()
-        instance.news.observe_models(news_of(3, age_ms=40))
-        assert instance.named() == [3]
-        assert instance.fetched == [("m", 3)]
-        assert instance.told == []
+        instance.publisher.observe_models(models_of(3, age_ms=40))
+        assert instance.published_versions() == [3]
+        assert instance.prefetched == [("m", 3)]
+        assert instance.sent_to_peers == []
 
-    def test_own_log_brings_no_second_word(self):
+    def test_own_log_does_not_prefetch_version_again(self):
         instance = Instance()
-        instance.news.observe_models(news_of(3))
+        instance.publisher.observe_models(models_of(3))
         instance.state.weights["m"] = 3
-        instance.news.publish_changes()
-        assert instance.fetched == [("m", 3)]
-        since = dict(instance.news.versions.versions_of("m"))
-        instance.news.observe_models(news_of(3))
-        assert dict(instance.news.versions.versions_of("m"))[3] <= since[3]
-        assert set(instance.named()) == {3}
+        instance.publisher.publish_changes()
+        assert instance.prefetched == [("m", 3)]
+        since = dict(instance.publisher.versions.versions_of("m"))
+        instance.publisher.observe_models(models_of(3))
+        assert dict(instance.publisher.versions.versions_of("m"))[3] <= since[3]
+        assert set(instance.published_versions()) == {3}
 
-    def test_what_the_own_log_brings_is_told_to_the_others(self):
+    def test_version_of_own_log_is_sent_to_peers(self):
         instance = Instance()
         instance.state.weights["m"] = 2
-        instance.news.publish_changes()
-        (told,) = instance.told
-        assert told.models[0].named[0].version == 2
-        assert instance.named() == [2]
+        instance.publisher.publish_changes()
+        (sent,) = instance.sent_to_peers
+        assert sent.models[0].named[0].version == 2
+        assert instance.published_versions() == [2]
 
-    def test_older_word_changes_nothing(self):
+    def test_older_update_is_not_published(self):
         instance = Instance()
-        instance.news.observe_models(news_of(3))
+        instance.publisher.observe_models(models_of(3))
         instance.link.taken.clear()
-        instance.news.observe_models(news_of(3, age_ms=500))
+        instance.publisher.observe_models(models_of(3, age_ms=500))
         assert instance.link.taken == []
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface, with a quorum and without."""
+"""Operators' HTTP interface, with and without a quorum."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 from wisteriapulley.http_server import HttpServer
 from wisteriapulley.metrics import Metrics
 
-GOOD = {"Authorization": "Bearer token-of-o"}
+VALID_HEADERS = {"Authorization": "Bearer token-of-o"}
 CHANGE = {
     "change_id": "1",
     "owner": "o",
@@ -26,8 +26,8 @@
 }
 
 
-class Service:
-    """Stand-in of the control service around the real replicated state."""
+class FakeService:
+    """A fake control service around the real replicated state."""
 
     def __init__(self, has_quorum=True):
         self.state = ControlState()
@@ -44,7 +44,9 @@
             raise no_quorum("isolated")
 
 
-def send(service, data, headers=GOOD, method="post", path="/v1/catalogue/changes"):
+def send(
+    service, data, headers=VALID_HEADERS, method="post", path="/v1/catalogue/changes"
+):
     async def run():
         server = HttpServer(
             Metrics("c", "control"),
@@ -60,8 +62,8 @@
 
 
 class TestOperators:
-    def test_change_is_accepted_once(self):
-        service, body = Service(), msgspec.json.encode(CHANGE)
+    def test_repeated_change_is_committed_once(self):
+        service, body = FakeService(), msgspec.json.encode(CHANGE)
         for _ in range(2):
             status, _, answer = send(service, body)
             assert (status, answer["revision"]) == (200, 1)
@@ -72,19 +74,19 @@
             (b"{}", {}, 401, 205),
             (b"{}", {"Authorization": "Bearer no"}, 401, 205),
             (b"{}", {"Authorization": "token-of-o"}, 401, 205),
-            (b"{", GOOD, 400, 201),
-            (b"\xff", GOOD, 400, 201),
-            (b"{}", GOOD, 400, 201),
-            (b" " * (MAX_CHANGE_BYTES + 1), GOOD, 413, 413),
-            (msgspec.json.encode({**CHANGE, "owner": "p"}), GOOD, 403, 204),
+            (b"{", VALID_HEADERS, 400, 201),
+            (b"\xff", VALID_HEADERS, 400, 201),
+            (b"{}", VALID_HEADERS, 400, 201),
+            (b" " * (MAX_CHANGE_BYTES + 1), VALID_HEADERS, 413, 413),
+            (msgspec.json.encode({**CHANGE, "owner": "p"}), VALID_HEADERS, 403, 204),
         ],
     )
-    def test_bad_request_gets_a_numbered_error(self, data, headers, status, code):
-        found, _, answer = send(Service(), data, headers)
+    def test_invalid_request_gets_error_code(self, data, headers, status, code):
+        found, _, answer = send(FakeService(), data, headers)
         assert (found, answer["error"]["code"]) == (status, code)
 
-    def test_isolated_instance_refuses_and_promises_nothing(self):
-        service = Service(has_quorum=False)
+    def test_change_without_quorum_is_refused_with_unknown_outcome(self):
+        service = FakeService(has_quorum=False)
         status, headers, answer = send(service, msgspec.json.encode(CHANGE))
         assert (status, headers["Retry-After"]) == (503, "1")
         assert answer["error"]["not_run"] is False
@@ -92,6 +94,6 @@
         service.has_quorum = True
         assert send(service, msgspec.json.encode(CHANGE))[2]["revision"] == 1
 
-    def test_isolated_instance_reads_nothing_old_as_accepted(self):
-        service = Service(has_quorum=False)
+    def test_read_without_quorum_is_refused(self):
+        service = FakeService(has_quorum=False)
         assert send(service, b"", method="get", path="/v1/catalogue")[0] == 503
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -1,4 +1,4 @@
-"""What a control instance draws when engines ask for weights."""
+"""Pieces that a control instance fetches when engines request weights."""
 
 import asyncio
 import hashlib
@@ -27,7 +27,7 @@
 
 
 class FakeLink:
-    """Keeps what is posted."""
+    """Records posted messages."""
 
     peer_id = "sidecar"
 
@@ -38,8 +38,8 @@
         self.posted.append(message)
 
 
-def serve(scenario):
-    """Play a scenario with a server of pieces and its origin."""
+def run_scenario(scenario):
+    """Run a scenario with a piece server and its origin."""
 
     async def run():
         origin = CorruptingSource()
@@ -51,134 +51,136 @@
     asyncio.run(run())
 
 
-async def ask_manifest(server):
-    """Ask a server for a manifest; return what it answered."""
+async def request_manifest(server):
+    """Request a manifest from a server; return the messages that it sent."""
     link, query = FakeLink(), messages.ManifestQuery("m", 7)
     await server.answer_manifest(query, link, Frame(1, 0, query, b""))
     return link.posted
 
 
 class TestPieceServer:
-    def test_pieces_that_nobody_lacks_do_not_hold_a_manifest_up(self):
-        """After a loss of all, engines that hold their pieces want manifests only."""
+    def test_manifest_is_not_delayed_by_unneeded_pieces(self):
+        """After an outage of all instances, engines with all pieces need manifests."""
 
         async def scenario(server, origin):
-            assert isinstance((await ask_manifest(server))[0], messages.ManifestReply)
+            assert isinstance(
+                (await request_manifest(server))[0], messages.ManifestReply
+            )
             await asyncio.sleep(0.01)
             assert origin.requested == []
 
-        serve(scenario)
+        run_scenario(scenario)
 
-    def test_pieces_are_drawn_at_once_where_one_is_lacked(self):
+    def test_missing_pieces_are_fetched_at_once(self):
         async def scenario(server, origin):
-            await ask_manifest(server)
+            await request_manifest(server)
             query, link = messages.HeldQuery("m", 7, 0, 1000), FakeLink()
             await server.answer_held(query, link, Frame(2, 0, query, b""))
             assert link.posted[0].pieces > 0
 
-        serve(scenario)
+        run_scenario(scenario)
 
-    def test_version_that_is_weighed_against_another_is_drawn(self):
-        """Load: a second version is named while sidecars still copy the first."""
+    def test_version_compared_with_another_is_fetched(self):
+        """A second version becomes desired while sidecars still download the first."""
 
         async def scenario(server, origin):
-            await ask_manifest(server)
+            await request_manifest(server)
             query, link = messages.HeldQuery("m", 7), FakeLink()
             await server.answer_held(query, link, Frame(2, 0, query, b""))
             await server.relay.prefetch_tasks["m"][1]
             assert len(server.relay.pieces) == 40
 
-        serve(scenario)
+        run_scenario(scenario)
 
-    def test_question_that_only_looks_draws_nothing(self):
+    def test_query_that_only_looks_fetches_nothing(self):
         async def scenario(server, origin):
-            await ask_manifest(server)
+            await request_manifest(server)
             query, link = messages.HeldQuery("m", 7, only_looks=True), FakeLink()
             await server.answer_held(query, link, Frame(2, 0, query, b""))
             assert link.posted[0].pieces == 0
             assert not server.relay.prefetch_tasks
 
-        serve(scenario)
+        run_scenario(scenario)
 
-    def test_pieces_are_drawn_ahead_of_newcomers(self, monkeypatch):
+    def test_pieces_are_prefetched_after_delay(self, monkeypatch):
         monkeypatch.setattr(pieces_module, "PREFETCH_DELAY_S", 0.0)
 
         async def scenario(server, origin):
-            await ask_manifest(server)
+            await request_manifest(server)
             await asyncio.sleep(0.01)
             await server.relay.prefetch_tasks["m"][1]
             assert len(server.relay.pieces) == 40
 
-        serve(scenario)
+        run_scenario(scenario)
 
 
 class FakeEngine:
-    """Holds every piece of a version."""
+    """An engine that holds every piece of a version."""
 
     def __init__(self, pieces):
         self.pieces = pieces
         self.reading = 0
-        self.most_reading = 0
+        self.max_reading = 0
 
     async def staged(self, model):
         return set(range(len(self.pieces)))
 
     async def staged_piece(self, model, position):
         self.reading += 1
-        self.most_reading = max(self.most_reading, self.reading)
+        self.max_reading = max(self.max_reading, self.reading)
         await asyncio.sleep(0)
         self.reading -= 1
         return self.pieces[position]
 
 
 class LateEngine(FakeEngine):
-    """Answers from its `answers_from`th question on; it then takes pieces."""
+    """An engine that answers only from query `answers_from` on, then stages pieces."""
 
     def __init__(self, pieces, answers_from):
         super().__init__(pieces)
         self.answers_from = answers_from
-        self.questions = 0
-        self.taken = []
+        self.queries = 0
+        self.staged_positions = []
 
     async def staged(self, model):
-        self.questions += 1
-        if self.questions < self.answers_from:
+        self.queries += 1
+        if self.queries < self.answers_from:
             raise WeightsError(ResultCode.SOURCE_UNAVAILABLE, "not up yet")
         return {n for n, piece in enumerate(self.pieces) if piece is not None}
 
     async def stage(self, model, position, data):
-        self.taken.append(position)
+        self.staged_positions.append(position)
         self.pieces[position] = data
 
 
-class HoldingLink:
-    """A control instance that holds all pieces, or none."""
+class PieceLink:
+    """A link to a control instance that holds all pieces, or none."""
 
     peer_id = "c"
 
     def __init__(self, pieces):
         self.pieces = pieces
-        self.asked = []
+        self.requested = []
 
     async def request(self, query, timeout_s):
         if isinstance(query, messages.HeldQuery):
             held = len(self.pieces)
             bitmap = pack_bitmap(set(range(held)), 8)
             return Frame(1, 1, messages.Held(held, 8, bitmap))
-        self.asked.append(query.position)
+        self.requested.append(query.position)
         data = self.pieces[query.position]
         return Frame(1, 1, messages.Piece(len(data)), data)
 
 
-class TestFetchingAhead:
-    """Load: engines that start a second after their sidecars, as traffic steps up."""
+class TestPrefetchForStartingEngine:
+    """Engines start a second after their sidecars, when a step in traffic adds both."""
 
-    def copy(self, engine, held, answered=False):
-        """Copy at an engine from an instance; return the pieces that it was asked."""
+    def download(self, engine, held, answered=False):
+        """Stage a version at an engine; return the positions requested upstream."""
         pieces = [b"%d" % n for n in range(8)]
         digests = tuple(hashlib.sha256(piece).digest() for piece in pieces)
         manifest = PieceManifest("m", 1, 1, 4, digests)
-        link = HoldingLink(pieces if held else [])
+        link = PieceLink(pieces if held else [])
         staging = StagingArea(engine, lambda: [link], lambda link: True, DownloadRate)
         staging.engine_answered = answered
 
@@ -189,67 +191,67 @@
         try:
             asyncio.run(run())
         finally:
-            asked = sorted(link.asked)
+            requested = sorted(link.requested)
         assert not staging.missing(manifest) and staging.done_fraction == 1.0
-        return asked
+        return requested
 
-    def test_pieces_wait_for_an_engine_that_is_not_up_yet(self):
+    def test_pieces_are_buffered_until_engine_starts(self):
         engine = LateEngine([None] * 8, answers_from=4)
-        assert self.copy(engine, held=True) == list(range(8))
-        assert sorted(engine.taken) == list(range(8))
+        assert self.download(engine, held=True) == list(range(8))
+        assert sorted(engine.staged_positions) == list(range(8))
 
-    def test_only_so_much_waits_in_memory(self, monkeypatch):
-        """Weights may be far larger than what an instance has to spare."""
+    def test_buffered_bytes_are_limited(self, monkeypatch):
+        """Weights may be far larger than the free memory of an instance."""
         monkeypatch.setattr(staging_module, "MAX_PREFETCH_BYTES", 3)
         monkeypatch.setattr(staging_module, "ENGINE_RETRY_DELAY_S", 0.0)
         engine = LateEngine([None] * 8, answers_from=4)
-        assert self.copy(engine, held=True) == list(range(8))
-        assert sorted(engine.taken) == list(range(8))
-
-    def test_pieces_that_lie_there_are_not_put_there_again(self):
-        """A killed instance comes back: its engine kept what it had."""
-        lying = [b"%d" % n if n < 6 else None for n in range(8)]
-        engine = LateEngine(lying, answers_from=4)
-        self.copy(engine, held=True)
-        assert sorted(engine.taken) == [6, 7]
-
-    def test_origin_is_not_drawn_from_for_it(self):
-        """Load: after a loss of all no instance holds a piece."""
+        assert self.download(engine, held=True) == list(range(8))
+        assert sorted(engine.staged_positions) == list(range(8))
+
+    def test_staged_pieces_are_not_staged_again(self):
+        """A killed instance restarts, and its engine has kept its pieces."""
+        staged = [b"%d" % n if n < 6 else None for n in range(8)]
+        engine = LateEngine(staged, answers_from=4)
+        self.download(engine, held=True)
+        assert sorted(engine.staged_positions) == [6, 7]
+
+    def test_origin_is_not_used_before_engine_starts(self):
+        """After an outage of all instances no instance holds a piece."""
         engine = LateEngine([None] * 8, answers_from=4)
         with pytest.raises(WeightsError):
-            self.copy(engine, held=False)
-        assert engine.questions == 1
+            self.download(engine, held=False)
+        assert engine.queries == 1
 
-    def test_crashed_engine_is_waited_for(self):
-        """It kept its pieces, as a crash does not lose them."""
+    def test_copy_waits_for_crashed_engine(self):
+        """An engine keeps its pieces over a crash, so nothing is fetched ahead."""
         engine = LateEngine([None] * 8, answers_from=4)
         with pytest.raises(WeightsError):
-            self.copy(engine, held=True, answered=True)
+            self.download(engine, held=True, answered=True)
 
 
 class TestStaging:
-    def test_pieces_are_read_back_some_at_a_time(self):
-        """Load: all engines start again, and nobody is served until they are read."""
+    def test_concurrent_reads_of_staged_pieces_are_limited(self):
+        """All engines restart, and none serves until its pieces are verified."""
         pieces = [b"%d" % n for n in range(50)]
         digests = tuple(hashlib.sha256(piece).digest() for piece in pieces)
         manifest = PieceManifest("m", 1, 1, 4, digests)
-        pieces[7] = pieces[49] = b"spoilt"
+        pieces[7] = pieces[49] = b"corrupted"
         engine = FakeEngine(pieces)
         staging = StagingArea(engine, list, lambda link: True, DownloadRate)
         bad = asyncio.run(staging.find_bad_pieces(manifest, range(50)))
         assert bad == [7, 49]
         assert staging.missing(manifest) == bad
-        assert 1 < engine.most_reading <= MAX_CONCURRENT_READS
+        assert 1 < engine.max_reading <= MAX_CONCURRENT_READS
 
-    def test_copy_that_lacks_nothing_asks_nobody(self):
-        """What asks which pieces are held makes the instances draw them all."""
+    def test_complete_copy_sends_no_query(self):
+        """A query for the held pieces makes control instances fetch all of them."""
         pieces = [b"%d" % n for n in range(8)]
         digests = tuple(hashlib.sha256(piece).digest() for piece in pieces)
         manifest = PieceManifest("m", 1, 1, 4, digests)
-        asked = []
+        calls = []
 
         def upstream():
-            asked.append(True)
+            calls.append(True)
             return []
 
         staging = StagingArea(
@@ -261,4 +263,4 @@
                 await staging.fetch_missing(manifest)
 
         asyncio.run(run())
-        assert not asked and staging.done_fraction == 1.0
+        assert not calls and staging.done_fraction == 1.0
--- a/tests/test_seeds.py
+++ b/tests/test_seeds.py
@@ -1,4 +1,4 @@
-"""Control instances that find each other through seeds, in one process."""
+"""Identities and data folders of control instances that are started with seeds."""
 
 import errno
 import json
@@ -41,36 +41,36 @@
     )
 
 
-class TestFirstIdentity:
-    def test_seeds_agree_without_a_first_one(self, tmp_path):
+class TestInitialIdentity:
+    def test_seeds_write_same_configuration(self, tmp_path):
         identities = [initial_identity(settings(tmp_path, host)) for host in HOSTS]
         assert len({json.dumps(i.members.voters) for i in identities}) == 1
         for host, identity in zip(HOSTS, identities, strict=True):
             assert identity.members.voters[host] == identity.identity
 
-    def test_other_instance_joins(self, tmp_path):
+    def test_instance_that_is_no_seed_joins(self, tmp_path):
         identity = initial_identity(settings(tmp_path, "127.0.0.9"))
         assert identity.members.voters == {}
 
-    def test_wiped_disk_does_not_vote_under_its_old_name(self, tmp_path):
+    def test_wiped_disk_gets_new_identity_without_vote(self, tmp_path):
         founded = initial_identity(settings(tmp_path))
         wiped = initial_identity(settings(tmp_path, first=False))
         assert wiped.members.voters == {}
         assert wiped.identity != founded.identity
 
-    def test_two_wiped_disks_differ(self, tmp_path):
+    def test_two_wiped_disks_get_different_identities(self, tmp_path):
         one, two = (initial_identity(settings(tmp_path, first=False)) for _ in "12")
         assert one.identity != two.identity
 
 
-class TestPrepareFolder:
-    def test_held_identity_stays(self, tmp_path):
+class TestEnsureIdentity:
+    def test_existing_identity_is_kept(self, tmp_path):
         ensure_identity(settings(tmp_path))
         before = read_identity(str(tmp_path))
         ensure_identity(settings(tmp_path, first=False))
         assert read_identity(str(tmp_path)) == before
 
-    def test_crash_before_the_identity_was_synced(self, tmp_path):
+    def test_files_of_crash_before_identity_sync_are_dropped(self, tmp_path):
         (tmp_path / "log").write_bytes(b"")
         (tmp_path / "identity.json.new").write_bytes(b"{")
         ensure_identity(settings(tmp_path))
@@ -78,19 +78,19 @@
 
 
 class TestInstanceWithoutDisk:
-    def test_observes_from_a_temporary_folder(self):
+    def test_observer_gets_temporary_folder(self):
         given = ensure_data_folder(settings(""))
         ensure_identity(given)
         identity = read_identity(given.data_folder)
         assert identity.identity.startswith(OBSERVER_PREFIX)
         assert identity.members.voters == {}
 
-    def test_forgets_at_each_start(self):
+    def test_each_start_gets_new_identity(self):
         one, two = (ensure_data_folder(settings("")).data_folder for _ in "12")
         assert read_identity(one).identity != read_identity(two).identity
 
     def test_needs_no_rename_and_no_sync(self, monkeypatch):
-        """The platform's temporary folders refuse a rename: an observer ended."""
+        """Regression: an observer ended as temporary folders may refuse a rename."""
 
         def refuse(*arguments):
             raise OSError(errno.EROFS, "Read-only file system")
@@ -108,10 +108,12 @@
         assert storage.read_snapshot() == b"state"
         storage.close()
 
-    def test_disk_of_its_own_is_used(self, tmp_path):
+    def test_configured_folder_is_used(self, tmp_path):
         assert ensure_data_folder(settings(tmp_path)).data_folder == str(tmp_path)
 
-    def test_temporary_folder_is_opened_where_locks_fail(self, tmp_path, monkeypatch):
+    def test_temporary_folder_is_opened_without_lock_support(
+        self, tmp_path, monkeypatch
+    ):
         def refuses(descriptor, operation):
             raise OSError(errno.EBADF, "Bad file descriptor")
 
--- a/tests/test_suspect_feed.py
+++ b/tests/test_suspect_feed.py
@@ -1,4 +1,4 @@
-"""News of suspects through one control instance, and over its restarts."""
+"""Suspects forwarded by one control instance and restored after its restart."""
 
 import asyncio
 
@@ -14,43 +14,43 @@
 from wisteriapulley.wire.messages import Suspect, SuspectNews
 
 DIGEST = b"d" * 16
-ONCE = SuspectNews((Suspect(DIGEST, 0, ("a",)),))
+ENDED_ONE = SuspectNews((Suspect(DIGEST, 0, ("a",)),))
 QUARANTINED = SuspectNews((Suspect(DIGEST, 0, ("a", "b", "c")),))
 
 
 class Instance:
-    """One control instance's feed, an entry and a sidecar that follow it."""
+    """One control instance's feed with an entry and a sidecar as followers."""
 
     def __init__(self):
-        self.told = []
+        self.sent_to_peers = []
         self.followers = Followers("z", Regions({}))
-        self.feed = SuspectFeed(self.followers, self.told.append)
+        self.feed = SuspectFeed(self.followers, self.sent_to_peers.append)
         self.entry, self.sidecar = WrittenLink("entry"), WrittenLink("sidecar")
         for link in (self.entry, self.sidecar):
             self.followers.add(link)
 
 
 class TestSuspectFeed:
-    def test_entry_is_heard_by_all_entries_and_instances(self):
+    def test_suspect_of_entry_goes_to_entries_and_peers(self):
         instance = Instance()
-        instance.feed.observe(ONCE, from_entry=True)
-        assert instance.told == [ONCE]
-        assert instance.entry.taken == [ONCE]
+        instance.feed.observe(ENDED_ONE, from_entry=True)
+        assert instance.sent_to_peers == [ENDED_ONE]
+        assert instance.entry.taken == [ENDED_ONE]
         assert not instance.sidecar.taken
 
-    def test_other_instance_is_heard_by_entries_only(self):
+    def test_suspect_of_peer_goes_to_entries_only(self):
         instance = Instance()
-        instance.feed.observe(ONCE, from_entry=False)
-        assert instance.told == []
-        assert instance.entry.taken == [ONCE]
+        instance.feed.observe(ENDED_ONE, from_entry=False)
+        assert instance.sent_to_peers == []
+        assert instance.entry.taken == [ENDED_ONE]
 
-    def test_what_is_known_goes_no_further(self):
+    def test_known_suspect_is_not_forwarded_again(self):
         instance = Instance()
         for _ in range(3):
-            instance.feed.observe(ONCE, from_entry=True)
-        assert len(instance.told) == len(instance.entry.taken) == 1
+            instance.feed.observe(ENDED_ONE, from_entry=True)
+        assert len(instance.sent_to_peers) == len(instance.entry.taken) == 1
 
-    def test_new_link_is_told_all(self):
+    def test_new_link_gets_all_suspects(self):
         instance, link = Instance(), WrittenLink("entry")
         instance.feed.send_all(link)
         assert link.taken == []
@@ -58,8 +58,8 @@
         instance.feed.send_all(link)
         assert link.taken == [QUARANTINED]
 
-    def test_many_targets_that_end_together_do_not_flood_entries(self):
-        """Load: hundreds of targets end, under thousands of requests."""
+    def test_end_of_many_targets_does_not_flood_entries(self):
+        """Hundreds of targets end during thousands of requests."""
         instance = Instance()
         for number in range(4 * int(NEW_SUSPECTS_BURST)):
             suspect = Suspect(number.to_bytes(16, "little"), 0, ("a",))
@@ -70,8 +70,8 @@
 
 
 class TestSuspectStore:
-    def kept(self, folder, files=None):
-        """Have an instance write what it learns; return its feed."""
+    def saved(self, folder, files=None):
+        """Let an instance record and save suspects; return its feed."""
 
         async def run():
             feed = Instance().feed
@@ -84,27 +84,27 @@
 
         return asyncio.run(run())
 
-    def test_quarantine_is_read_back(self, tmp_path):
-        self.kept(tmp_path)
+    def test_quarantined_request_is_restored(self, tmp_path):
+        self.saved(tmp_path)
         feed = Instance().feed
         feed.restore(SuspectStore(tmp_path))
         assert feed.suspects.quarantined() == [DIGEST]
         assert len(feed.suspects.records) == 1
 
-    def test_nothing_there_yet(self, tmp_path):
+    def test_missing_file_is_empty(self, tmp_path):
         assert SuspectStore(tmp_path).load() == ()
 
     @pytest.mark.parametrize("content", [b"", b"\xc1", b"\x91\x01", b"{}"])
-    def test_damaged_file_is_logged_and_left(self, tmp_path, content, caplog):
+    def test_damaged_file_is_logged_and_ignored(self, tmp_path, content, caplog):
         (tmp_path / FILE_NAME).write_bytes(content)
         assert SuspectStore(tmp_path).load() == ()
         assert "can't be read" in caplog.text
 
-    def test_disk_that_fails_stops_nothing(self, tmp_path, caplog):
-        class Full(Files):
+    def test_failed_write_is_logged(self, tmp_path, caplog):
+        class FullDisk(Files):
             def replace(self, path, data):
                 raise StorageError(ResultCode.DISK_FULL, "no room")
 
-        feed = self.kept(tmp_path, Full())
+        feed = self.saved(tmp_path, FullDisk())
         assert feed.suspects.quarantined() == [DIGEST]
         assert "not written" in caplog.text
