--- a/tests/test_entry_at_most_once.py
+++ b/tests/test_entry_at_most_once.py
@@ -51,7 +51,7 @@
         put = self.ledger.put
         return put(command.key, command.claim, command.expected_attempt, now_ms)
 
-    def heard(self, link):
+    def pull_if_behind(self, link):
         pass
 
 
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -235,7 +235,7 @@
         pieces = [b"%d" % n for n in range(50)]
         digests = tuple(hashlib.sha256(piece).digest() for piece in pieces)
         manifest = PieceManifest("m", 1, 1, 4, digests)
-        pieces[7] = pieces[49] = b"corrupted"
+        pieces[7] = pieces[49] = b"spoilt"
         engine = FakeEngine(pieces)
         staging = StagingArea(engine, list, lambda link: True, DownloadRate)
         bad = asyncio.run(staging.find_bad_pieces(manifest, range(50)))
