--- a/bench/control.py
+++ b/bench/control.py
@@ -140,7 +140,7 @@
         claimers = [Claimer.from_fleet(self.fleet, f"load-{n}") for n in range(3)]
         for claimer in claimers:
             claimer.control.start()
-            while claimer.control.keeper.open_link is None:
+            while claimer.control.connection.open_link is None:
                 await asyncio.sleep(0.02)
         start = time.monotonic()
         share = CLAIMS_IN_FLIGHT // len(claimers)
--- a/bench/control_watcher.py
+++ b/bench/control_watcher.py
@@ -85,7 +85,7 @@
         self.control.start()
         while True:
             await asyncio.sleep(STATS_S)
-            link = self.control.keeper.open_link
+            link = self.control.connection.open_link
             if link is not None:
                 carried = link.bytes_sent + link.bytes_received
                 self.write(kind="stats", bytes=carried, at=time.monotonic())
--- a/src/wisteriapulley/control/client.py
+++ b/src/wisteriapulley/control/client.py
@@ -111,7 +111,7 @@
         self.isolated_since_s: float | None = None
         self.isolated_timeout_s = ISOLATED_TIMEOUT_S
         self.pulling = False
-        self.keeper = ReconnectingLink(
+        self.connection = ReconnectingLink(
             self.rotated_addresses(identity.node_id),
             identity,
             self.handle,
@@ -128,7 +128,7 @@
 
     def start(self) -> None:
         """Connect and start watching."""
-        self.keeper.start()
+        self.connection.start()
         self.confirm_task = asyncio.get_running_loop().create_task(self.confirm_loop())
 
     async def stop(self) -> None:
@@ -136,13 +136,13 @@
         self.confirm_task.cancel()
         if self.report_timer is not None:
             self.report_timer.cancel()
-        await self.keeper.stop()
+        await self.connection.stop()
 
     async def confirm_loop(self) -> None:
         """Request the catalogue again until a quorum has confirmed it."""
         while not self.catalogue.confirmed:
             await asyncio.sleep(CONFIRM_RETRY_S)
-            link = self.keeper.open_link
+            link = self.connection.open_link
             if link is not None and not self.pulling:
                 link.spawn(self.pull(link))
 
@@ -194,8 +194,8 @@
 
     def post(self, message: tuple) -> None:
         """Send a message if a link is open; drop it otherwise."""
-        if self.keeper.open_link is not None:
-            self.keeper.open_link.post(message)
+        if self.connection.open_link is not None:
+            self.connection.open_link.post(message)
 
     async def propose(self, command: Command) -> Result:
         """Commit a command through the control instance.
@@ -220,7 +220,7 @@
 
     async def request(self, message: tuple, timeout_s: float) -> Frame:
         """Send a request to the control instance; a lost reply is NO_QUORUM."""
-        link = self.keeper.open_link
+        link = self.connection.open_link
         if link is None:
             raise no_quorum("not connected to a control instance")
         try:
--- a/src/wisteriapulley/control/publisher.py
+++ b/src/wisteriapulley/control/publisher.py
@@ -163,7 +163,7 @@
         )
 
     def model_state(self, service: str, engine: Engine) -> messages.ModelState:
-        """Return the engine figures and versions of one model service."""
+        """Return the engine parameters and versions of one model service."""
         now_ms = steady_ms()
         return messages.ModelState(
             service,
--- a/src/wisteriapulley/control/quorum_members.py
+++ b/src/wisteriapulley/control/quorum_members.py
@@ -69,7 +69,7 @@
         return json_response(member_list(self.require_leader(request)))
 
     async def remove_member(self, request: web.Request) -> web.Response:
-        """Remove a member permanently; a leader hands over first."""
+        """Remove a member permanently; a leader first transfers its leadership."""
         replica = self.require_leader(request)
         node_id = request.match_info["node_id"]
         if node_id not in replica.members.node_ids():
@@ -80,7 +80,7 @@
         if node_id == replica.node_id and len(replica.members.voters) > 1:
             await self.service.driver.hand_over()
             raise no_quorum(
-                f"{node_id} handed its leadership over; send the request again"
+                f"{node_id} transferred its leadership; send the request again"
             )
         await self.service.driver.wait_committed(replica.remove_member(node_id))
         return json_response(member_list(replica))
--- a/src/wisteriapulley/control/service.py
+++ b/src/wisteriapulley/control/service.py
@@ -113,7 +113,8 @@
         if settings.seeds:
             ensure_identity(settings)
         self.peers = {
-            peer.node_id: self.new_peer_keeper(peer.address) for peer in settings.peers
+            peer.node_id: self.new_peer_connection(peer.address)
+            for peer in settings.peers
         }
         self.driver = Driver(
             settings, self.state, self.peers, self.on_applied, self.fatal.set_exception
@@ -123,16 +124,16 @@
             settings, self.driver, self.publisher.origin, self.open_origin
         )
         await self.listen()
-        for keeper in self.peers.values():
-            keeper.start()
+        for connection in self.peers.values():
+            connection.start()
         self.add_hosts(seed.host for seed in settings.seeds)
         self.publisher.publish_restored()
         self.publisher.suspect_feed.restore(SuspectStore(Path(settings.data_folder)))
         self.driver.start()
         self.sweep_task = asyncio.get_running_loop().create_task(self.sweep_loop())
 
-    def new_peer_keeper(self, address: Address) -> ReconnectingLink:
-        """Create the keeper of the link to one peer."""
+    def new_peer_connection(self, address: Address) -> ReconnectingLink:
+        """Create the reconnecting link to one peer."""
         return ReconnectingLink(
             [address],
             self.identity,
@@ -150,7 +151,7 @@
             if host == self.settings.node_id or host in self.peers:
                 continue
             port = self.settings.wire_listen.port
-            self.peers[host] = self.new_peer_keeper(Address(host, port))
+            self.peers[host] = self.new_peer_connection(Address(host, port))
             self.peers[host].start()
 
     def publish_hosts(self) -> None:
@@ -176,8 +177,8 @@
         await self.http.start(settings.http_listen)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Hand leadership over, then stop the tasks, listeners and links."""
-        # Leadership is handed over while the links are still open.
+        """Transfer leadership, then stop the tasks, listeners and links."""
+        # Leadership is transferred while the links are still open.
         await self.driver.stop()
         self.sweep_task.cancel()
         self.publisher.target_feed.stop()
@@ -185,8 +186,8 @@
             task.cancel()
         self.pieces.stop()
         await self.http.stop()
-        for keeper in self.peers.values():
-            await keeper.stop()
+        for connection in self.peers.values():
+            await connection.stop()
         await self.server.stop()
 
     def is_ready(self) -> bool:
@@ -468,7 +469,7 @@
 
     def open_peer_links(self) -> dict[str, Link]:
         """Return the open links to the other instances, by node id."""
-        links = {name: keeper.open_link for name, keeper in self.peers.items()}
+        links = {name: connection.open_link for name, connection in self.peers.items()}
         return {name: link for name, link in links.items() if link is not None}
 
     def publish_member_changes(self, changes: Changes) -> None:
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -97,7 +97,7 @@
         """Regression: the failure reply was dropped, and the node kept waiting."""
 
         async def scenario(client):
-            await until(lambda: client.keeper.open_link)
+            await until(lambda: client.connection.open_link)
             with pytest.raises(WisteriapulleyError) as caught:
                 await client.propose(ReleasePermit("n"))
             assert caught.value.code == ResultCode.NO_QUORUM
@@ -126,7 +126,7 @@
         async def scenario(client):
             await until(lambda: client.catalogue.confirmed)
             assert client.catalogue.revision == 5
-            assert client.keeper.link.peer_id == "c2"
+            assert client.connection.link.peer_id == "c2"
             await until(lambda: client.isolated_timeout_s == ISOLATED_TIMEOUT_S / 100)
 
         run(scenario, isolated, healthy)
