--- a/src/wisteriapulley/control/control_api.py
+++ b/src/wisteriapulley/control/control_api.py
@@ -83,16 +83,16 @@
         """
         check_table(table)
         command = PutRouting(table.version, pack_table(table), zlib.compress(original))
-        held = self.service.state.routing.version
-        if table.version <= held:
-            return held
+        current = self.service.state.routing.version
+        if table.version <= current:
+            return current
         return await self.commit(command)
 
     async def set_desired_version(self, model: str, version: int) -> int:
         """Commit the desired version of a model's weights; see `replace_routing`."""
-        held = self.service.state.weights.get(model, 0)
-        if version <= held:
-            return held
+        current = self.service.state.weights.get(model, 0)
+        if version <= current:
+            return current
         return await self.commit(PutWeights(model, version))
 
     async def commit(self, command: Command) -> int:
