--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -107,7 +107,7 @@
     def __init__(self, corrupted=()):
         self.corrupted = set(corrupted)
         self.requested = []
-        self.in_flight = self.max_in_flight = 0
+        self.in_flight = self.peak_in_flight = 0
 
     def data(self, position):
         return b"%d" % position * 10
@@ -124,7 +124,7 @@
     async def piece(self, model, version, position):
         self.requested.append(position)
         self.in_flight += 1
-        self.max_in_flight = max(self.max_in_flight, self.in_flight)
+        self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
         await asyncio.sleep(0)
         self.in_flight -= 1
         if position in self.corrupted:
@@ -240,7 +240,7 @@
         assert len(again) == 2
         assert again[1] - again[0] <= 3 * MAX_PIECES_IN_FLIGHT
         assert len(relay.pieces) == 40
-        assert source.max_in_flight <= MAX_PIECES_IN_FLIGHT
+        assert source.peak_in_flight <= MAX_PIECES_IN_FLIGHT
 
     def test_callers_share_a_fetch(self):
         source = CorruptingSource()
