--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,4 +1,4 @@
-"""Randomized soak: the real programs, faults from outside, promises checked meanwhile.
+"""Randomized soak test: runs the real programs, injects faults, checks invariants.
 
-``python -m soak --seeds 5`` plays five seeds; see docs/SOAK.md.
+``python -m soak --seeds 5`` runs five seeds; see docs/SOAK.md.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds one after the other, or some at once, and writes a JSON line each."""
+"""Run seeds in sequence or in parallel; print one JSON line per seed."""
 
 import argparse
 import json
@@ -7,58 +7,64 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from soak.plan import draw
+from soak.plan import draw_faults
 from soak.regressions import REGRESSIONS
 from soak.run import Outcome
-from soak.seeds import SeedOptions, play
+from soak.seeds import SeedOptions, run_seed
 
 
-def arguments() -> argparse.Namespace:
-    """Read the command line."""
+def parse_arguments() -> argparse.Namespace:
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog="python -m soak", description=__doc__)
-    parser.add_argument("--seeds", type=int, default=1, help="how many fresh seeds")
-    parser.add_argument("--seed", type=int, nargs="*", default=[], help="these seeds")
-    parser.add_argument("--seconds", type=float, default=30.0, help="of faults, each")
+    parser.add_argument("--seeds", type=int, default=1, help="number of new seeds")
+    parser.add_argument("--seed", type=int, nargs="*", default=[], help="seeds to run")
+    parser.add_argument(
+        "--seconds", type=float, default=30.0, help="fault time per seed"
+    )
     parser.add_argument("--entries", type=int, default=2)
     parser.add_argument("--engines", type=int, default=3)
-    parser.add_argument("--jobs", type=int, default=1, help="seeds at once")
-    parser.add_argument("--untimed", action="store_true", help="the machine is busy")
-    parser.add_argument("--timeline", action="store_true", help="print the faults only")
+    parser.add_argument("--jobs", type=int, default=1, help="seeds in parallel")
+    parser.add_argument("--untimed", action="store_true", help="skip time bounds")
+    parser.add_argument("--timeline", action="store_true", help="only print the faults")
+    parser.add_argument(
+        "--regressions", action="store_true", help="run all seeds that failed before"
+    )
     parser.add_argument(
-        "--regressions", action="store_true", help="all seeds that once failed"
+        "--keep", action="store_true", help="keep logs of passing seeds"
     )
-    parser.add_argument("--keep", action="store_true", help="keep logs of good seeds")
     return parser.parse_args()
 
 
-def show(outcome: Outcome) -> None:
-    """Print what a seed showed."""
+def print_outcome(outcome: Outcome) -> None:
+    """Print the outcome of a seed as a JSON line."""
     line = outcome._asdict() | {"findings": [tuple(f) for f in outcome.findings]}
     print(json.dumps(line), flush=True)
 
 
 def main() -> int:
-    """Play; return 1 if anything was found."""
-    given = arguments()
+    """Run the seeds; return 1 if any of them has findings."""
+    arguments = parse_arguments()
     options = SeedOptions(
-        given.seconds,
-        given.entries,
-        given.engines,
-        not given.untimed,
-        given.keep,
+        arguments.seconds,
+        arguments.entries,
+        arguments.engines,
+        not arguments.untimed,
+        arguments.keep,
     )
-    if given.regressions:
-        given.seed = [regression.seed for regression in REGRESSIONS]
-    seeds = given.seed or [secrets.randbelow(1 << 31) for _ in range(given.seeds)]
-    if given.timeline:
+    if arguments.regressions:
+        arguments.seed = [regression.seed for regression in REGRESSIONS]
+    seeds = arguments.seed or [
+        secrets.randbelow(1 << 31) for _ in range(arguments.seeds)
+    ]
+    if arguments.timeline:
         for seed in seeds:
-            print(*draw(seed, options.seconds, options.shape), sep="\n")
+            print(*draw_faults(seed, options.seconds, options.shape), sep="\n")
         return 0
     found = 0
     context = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(given.jobs, context, max_tasks_per_child=1) as pool:
-        for outcome in pool.map(play, seeds, [options] * len(seeds)):
-            show(outcome)
+    with ProcessPoolExecutor(arguments.jobs, context, max_tasks_per_child=1) as pool:
+        for outcome in pool.map(run_seed, seeds, [options] * len(seeds)):
+            print_outcome(outcome)
             found += bool(outcome.findings)
     print(json.dumps({"seeds": len(seeds), "with findings": found}))
     return int(found > 0)
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, and check every answer."""
+"""Callers that reuse connections and check every response."""
 
 import asyncio
 import logging
@@ -10,92 +10,94 @@
 
 import aiohttp
 
-from soak.promises import Ended, Judge, Sent
-from soak.targets import plain_answer, stream_of
+from soak.invariants import InvariantChecker, RequestResult, SentRequest
+from soak.targets import expected_plain_body, expected_stream
 from wisteriapulley.platform import names
 
 log = logging.getLogger(__name__)
 
 HOST = "soak.example"
 KEY = "key-of-the-soak"
-PATIENCE_S = 5.0
-CONNECT_S = 1.0
-PAUSE_S = (0.02, 0.15)
-# After a refusal a caller comes back when it is told, but not later than this.
-MOST_PAUSE_S = 1.0
-# Share of requests on a new connection.
-FRESH_SHARE = 0.1
+REQUEST_TIMEOUT_S = 5.0
+CONNECT_TIMEOUT_S = 1.0
+THINK_TIME_S = (0.02, 0.15)
+# After a rejection a caller retries at the requested time, but not later than this.
+MAX_RETRY_WAIT_S = 1.0
+# Fraction of requests on a new connection.
+NEW_CONNECTION_FRACTION = 0.1
 
 
 class RequestKind(NamedTuple):
-    """One kind of request; `answer` makes the only right one from an id."""
+    """Kind of request; `expected_body` maps a request id to the only correct body."""
 
     method: str
     path: str
     idempotent: bool
-    most_targets: int
-    answer: Callable[[str], bytes]
+    max_targets: int
+    expected_body: Callable[[str], bytes]
 
 
-KINDS = (
-    RequestKind("POST", "/stream/a%2Fb?x=%20y", True, 2, stream_of),
-    RequestKind("POST", "/once/", False, 1, plain_answer),
-    RequestKind("GET", "/safe/?q=1", True, 2, plain_answer),
+REQUEST_KINDS = (
+    RequestKind("POST", "/stream/a%2Fb?x=%20y", True, 2, expected_stream),
+    RequestKind("POST", "/once/", False, 1, expected_plain_body),
+    RequestKind("GET", "/safe/?q=1", True, 2, expected_plain_body),
 )
 
 
 class Caller:
-    """One caller of one entry.
+    """Sends requests to one entry, one at a time.
 
     Parameters
     ----------
     name : str
-        Unique; part of each attempt's id.
+        Unique; prefix of the request ids, and seed of the caller's choices.
     entry : str
         Name of the entry.
     address : str
-        Where it is reached.
-    judge : Judge
-        Told of everything.
+        Address at which the entry is reached.
+    checker : InvariantChecker
+        Records each request and its result.
     """
 
-    def __init__(self, name: str, entry: str, address: str, judge: Judge):
+    def __init__(self, name: str, entry: str, address: str, checker: InvariantChecker):
         self.name = name
         self.entry = entry
         self.address = address
-        self.judge = judge
+        self.checker = checker
         self.rng = random.Random(name)
         self.number = 0
-        self.outcomes: Counter[int] = Counter()
+        self.status_counts: Counter[int] = Counter()
         self.session: aiohttp.ClientSession | None = None
         self.task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to send."""
-        timeout = aiohttp.ClientTimeout(total=PATIENCE_S + 1, sock_connect=CONNECT_S)
+        """Start sending."""
+        timeout = aiohttp.ClientTimeout(
+            total=REQUEST_TIMEOUT_S + 1, sock_connect=CONNECT_TIMEOUT_S
+        )
         self.session = aiohttp.ClientSession(timeout=timeout)
-        # The library would send again by itself what may have run.
+        # By default aiohttp resends requests that may already have been executed.
         self.session._retry_connection = False
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     async def stop(self) -> None:
-        """Stop sending, after the request in progress."""
+        """Cancel the request in progress and stop sending."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         await self.session.close()
 
     async def run(self) -> None:
-        """Send one request after another."""
+        """Send requests until cancelled."""
         while True:
-            pause_s = await self.ask(self.rng.choice(KINDS))
-            await asyncio.sleep(pause_s or self.rng.uniform(*PAUSE_S))
+            pause_s = await self.send_request(self.rng.choice(REQUEST_KINDS))
+            await asyncio.sleep(pause_s or self.rng.uniform(*THINK_TIME_S))
 
-    async def ask(self, kind: RequestKind) -> float:
-        """Send one request; return how long to stay away."""
+    async def send_request(self, kind: RequestKind) -> float:
+        """Send one request; return how long to wait before a retry, 0 for none."""
         self.number += 1
         request_id = f"{self.name}-{self.number}"
         body = b"body of " + request_id.encode() if kind.method == "POST" else b""
-        sent = Sent(
+        sent = SentRequest(
             request_id,
             self.entry,
             kind.method,
@@ -103,27 +105,29 @@
             body,
             time.monotonic(),
             kind.idempotent,
-            kind.most_targets,
+            kind.max_targets,
         )
-        self.judge.note_sent(sent)
+        self.checker.record_sent(sent)
         status, data, retry_s = await self.exchange(sent)
-        right = data == kind.answer(request_id)
-        self.judge.note_ended(
-            Ended(request_id, time.monotonic(), status, data is not None, right)
+        correct = data == kind.expected_body(request_id)
+        self.checker.record_result(
+            RequestResult(
+                request_id, time.monotonic(), status, data is not None, correct
+            )
         )
-        self.outcomes[status if data is not None else 0] += 1
-        return min(retry_s, MOST_PAUSE_S)
+        self.status_counts[status if data is not None else 0] += 1
+        return min(retry_s, MAX_RETRY_WAIT_S)
 
-    async def exchange(self, sent: Sent) -> tuple[int, bytes | None, float]:
-        """Send, and read status, whole body (None if it broke off) and pause."""
+    async def exchange(self, sent: SentRequest) -> tuple[int, bytes | None, float]:
+        """Send; return status, complete body (None if truncated) and retry time."""
         headers = {
             "Host": HOST,
             names.REQUEST_ID: sent.request_id,
-            names.DEADLINE_MS: str(int(PATIENCE_S * 1000)),
+            names.DEADLINE_MS: str(int(REQUEST_TIMEOUT_S * 1000)),
             names.TOKEN_COUNTS: "100,60",
             "Authorization": f"{names.BEARER_PREFIX}{KEY}",
         }
-        if self.rng.random() < FRESH_SHARE:
+        if self.rng.random() < NEW_CONNECTION_FRACTION:
             headers["Connection"] = "close"
         url = aiohttp.client.URL(f"http://{self.address}{sent.path}", encoded=True)
         status, retry_s = 0, 0.0
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The real programs as separate processes, each on a loopback address of its own."""
+"""Runs the real programs as processes, each on its own loopback address."""
 
 import asyncio
 import json
@@ -14,57 +14,68 @@
 from tests.fakes.platform import Listener, Origin
 from tests.fleet import ROOT, Process
 
+from soak.invariants import STOP_GRACE_S, InvariantChecker
 from soak.network import Network
-from soak.plan import Shape
-from soak.promises import GRACE_S, Judge
-from soak.targets import Announcer, SoakEngine, SoakPlain
+from soak.plan import FleetShape
+from soak.targets import HeartbeatSender, SoakEngine, SoakPlainTarget
 from wisteriapulley.consensus import frames
 
 log = logging.getLogger(__name__)
 
-DOMAINS = {"domain-a": "region-a", "domain-b": "region-b", "domain-c": "region-c"}
-# Ports that the platform leaves to a process, from the start of its range.
-PORTS_EACH = 16
-CONTROL_WIRE, SIDECAR_WIRE = 0, 1
-FRONTEND, READINESS, CONTROL_PLANE = 8, 9, 10
-FIRST_PORTS = (12_000, 20_000)
-# Above all ranges: where relays and stand-ins listen.
-STAND_IN_PORT, RELAY_PORT = 30_000, 30_001
-# A stop signal is followed by a kill, as on the platform, but later: what is late
-# is found, and does not end the run.
-STOP_S = GRACE_S + 10.0
-START_S = 60.0
-# A process that ended by itself is started again after this.
-RESTART_S = 0.3
+FAILURE_DOMAIN_REGIONS = {
+    "domain-a": "region-a",
+    "domain-b": "region-b",
+    "domain-c": "region-c",
+}
+# Number of ports in the range that the platform gives to a process. The offsets of
+# its listeners from the first port follow.
+PORTS_PER_NODE = 16
+CONTROL_WIRE_OFFSET, SIDECAR_WIRE_OFFSET = 0, 1
+FRONTEND_OFFSET, READINESS_OFFSET, CONTROL_PLANE_OFFSET = 8, 9, 10
+FIRST_PORT_RANGE = (12_000, 20_000)
+# Ports of relays and fakes, above all ranges.
+FAKE_PORT, RELAY_PORT = 30_000, 30_001
+# A process that does not end after a stop signal is killed, as on the platform. The
+# kill comes later than there, so that a late end is a finding and the run continues.
+STOP_TIMEOUT_S = STOP_GRACE_S + 10.0
+START_TIMEOUT_S = 60.0
+# A process that ended by itself is restarted within this time.
+RESTART_DELAY_S = 0.3
 
 
 class Node:
-    """One process of the system.
+    """A process of the system.
 
     Parameters
     ----------
     name : str
-        As in the shape.
+        Its name in the fleet's shape.
     role : str
-        What `deploy/run.py` starts.
+        Role that `deploy/run.py` starts.
     host : str
-        Its address.
-    base : int
-        First of its ports.
-    domain : str
+        Its IP address.
+    first_port : int
+        First port of its range.
+    failure_domain : str
         Its failure domain.
     folder : Path
-        Settings, log and data.
+        Holds its settings, log and data.
     """
 
     def __init__(
-        self, name: str, role: str, host: str, base: int, domain: str, folder: Path
+        self,
+        name: str,
+        role: str,
+        host: str,
+        first_port: int,
+        failure_domain: str,
+        folder: Path,
     ):
         self.name = name
         self.role = role
         self.host = host
-        self.base = base
-        self.domain = domain
+        self.first_port = first_port
+        self.failure_domain = failure_domain
         self.data = folder / "data" / name
         self.settings_file = folder / "settings" / f"{name}.toml"
         variables = {
@@ -76,22 +87,24 @@
         self.incarnation = 0
         self.bootstrap = True
         self.stopping = False
-        # Whether it should run now: nothing of the run has taken it down.
-        self.wanted = False
+        # Whether it should be running: no fault has stopped it.
+        self.should_run = False
 
     def address(self, offset: int) -> str:
-        """Return an address of this process."""
-        return f"{self.host}:{self.base + offset}"
+        """Return the address of the listener at an offset in the port range."""
+        return f"{self.host}:{self.first_port + offset}"
 
     def write_settings(self, seeds: list[str], app: str, stamp: int = 0) -> None:
-        """Write the settings file in the platform's format."""
-        zones = "\n".join(f'{zone} = "{region}"' for zone, region in DOMAINS.items())
+        """Write the settings file atomically in the platform's format."""
+        zones = "\n".join(
+            f'{zone} = "{region}"' for zone, region in FAILURE_DOMAIN_REGIONS.items()
+        )
         text = f"""
 node-name = "{self.name}"
 ip-address = "{self.host}"
-zone = "{self.domain}"
-region = "{DOMAINS[self.domain]}"
-internal-port-range = [{self.base},{self.base + PORTS_EACH - 1}]
+zone = "{self.failure_domain}"
+region = "{FAILURE_DOMAIN_REGIONS[self.failure_domain]}"
+internal-port-range = [{self.first_port},{self.first_port + PORTS_PER_NODE - 1}]
 seed-nodes = {json.dumps(seeds)}
 bootstrap = {str(self.bootstrap).lower()}
 data-directory = "{self.data}"
@@ -102,15 +115,15 @@
 [zones]
 {zones}
 [listen-addresses]
-frontend = "{self.address(FRONTEND)}"
-readiness = "{self.address(READINESS)}"
-control-plane = "{self.address(CONTROL_PLANE)}"
+frontend = "{self.address(FRONTEND_OFFSET)}"
+readiness = "{self.address(READINESS_OFFSET)}"
+control-plane = "{self.address(CONTROL_PLANE_OFFSET)}"
 [limits]
 link-mbps = 8.0
 [fault-tolerance]
 machines = 1
 [bounds]
-grace-period-s = {GRACE_S:.0f}
+grace-period-s = {STOP_GRACE_S:.0f}
 version_ms = 8000
 """
         part = self.settings_file.with_suffix(".part")
@@ -119,101 +132,110 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process is running."""
         popen = self.process.popen
         return popen is not None and popen.poll() is None
 
     def start(self) -> None:
-        """Start it, unless it runs or is being stopped."""
+        """Start the process unless it is running or being stopped."""
         if self.is_up or self.stopping:
             return
         self.data.mkdir(parents=True, exist_ok=True)
-        self.wanted = True
+        self.should_run = True
         self.incarnation += 1
         self.process.start()
 
     def kill(self) -> None:
-        """Kill it."""
-        self.wanted = False
+        """Kill the process; it should not run afterwards."""
+        self.should_run = False
         if self.is_up:
             self.process.kill()
 
-    async def stop(self, judge: Judge) -> None:
-        """Send a stop signal, and wait as long as the platform would, and longer."""
+    async def stop(self, checker: InvariantChecker) -> None:
+        """Send a stop signal, check how the process ends, and kill it if it does not.
+
+        Waits longer than the platform does.
+        """
         if not self.is_up or self.stopping:
             return
-        self.stopping, self.wanted = True, False
+        self.stopping, self.should_run = True, False
         popen, began_s = self.process.popen, time.monotonic()
         self.process.signal(signal.SIGTERM)
-        while popen.poll() is None and time.monotonic() < began_s + STOP_S:
+        while popen.poll() is None and time.monotonic() < began_s + STOP_TIMEOUT_S:
             await asyncio.sleep(0.05)
         ended = popen.poll()
         if ended != -signal.SIGKILL:
-            judge.check_stop(self.name, time.monotonic() - began_s, ended)
+            checker.check_stop(self.name, time.monotonic() - began_s, ended)
         self.kill()
         self.stopping = False
 
 
 def site_packages() -> str:
-    """Return where the libraries of this interpreter are."""
+    """Return the folder of this interpreter's installed libraries."""
     import msgspec
 
     return str(Path(msgspec.__file__).resolve().parent.parent)
 
 
 class SoakFleet:
-    """All processes, stand-ins and the network between them.
+    """All processes and fakes, and the network between them.
 
     Parameters
     ----------
     folder : Path
-        Settings, logs and data.
-    shape : Shape
-        How many of each.
-    judge : Judge
-        Told of what targets run.
+        Holds settings, logs and data.
+    shape : FleetShape
+        Names of the processes and targets.
+    checker : InvariantChecker
+        Records what targets run and how processes end.
     seed : int
-        Of addresses and choices.
+        Seeds the fleet's random choices.
     """
 
-    def __init__(self, folder: Path, shape: Shape, judge: Judge, seed: int):
+    def __init__(
+        self, folder: Path, shape: FleetShape, checker: InvariantChecker, seed: int
+    ):
         self.folder = folder
         self.shape = shape
-        self.judge = judge
+        self.checker = checker
         self.rng = random.Random(f"fleet{seed}")
         self.network = Network()
         self.origin = Origin()
         self.engines: dict[str, SoakEngine] = {}
-        self.plain: dict[str, SoakPlain] = {}
-        self.announcers: dict[str, Announcer] = {}
+        self.plain_targets: dict[str, SoakPlainTarget] = {}
+        self.heartbeat_senders: dict[str, HeartbeatSender] = {}
         self.apps: dict[str, str] = {}
         self.entry_addresses: dict[str, str] = {}
         self.control_addresses: dict[str, str] = {}
         (folder / "settings").mkdir(parents=True)
-        *self.block, self.claim = free_block(len(shape.nodes) * PORTS_EACH)
+        *self.network_block, self.reservation = reserve_network(
+            len(shape.nodes) * PORTS_PER_NODE
+        )
         self.nodes = {
             name: self.new_node(number, name) for number, name in enumerate(shape.nodes)
         }
 
     def host(self, number: int) -> str:
-        """Return the address of one instance of this run."""
-        return f"{self.block[0]}.{number // 200 + 1}.{number % 200 + 1}"
+        """Return the IP address of an instance in this run's network."""
+        return f"{self.network_block[0]}.{number // 200 + 1}.{number % 200 + 1}"
 
     def new_node(self, number: int, name: str) -> Node:
-        """Make one process, in the domains by turns."""
+        """Create a process; failure domains are assigned round-robin."""
         role, _, position = name.partition("-")
-        domain = sorted(DOMAINS)[int(position) % len(DOMAINS)]
-        base = self.block[1] + number * PORTS_EACH
+        domain = sorted(FAILURE_DOMAIN_REGIONS)[
+            int(position) % len(FAILURE_DOMAIN_REGIONS)
+        ]
+        base = self.network_block[1] + number * PORTS_PER_NODE
         return Node(name, role, self.host(number), base, domain, self.folder)
 
     @property
-    def seeds(self) -> list[str]:
-        """Addresses of the control instances, as settings name them."""
+    def seed_nodes(self) -> list[str]:
+        """Addresses of the control instances as the settings list them."""
         names = self.shape.controls
-        return [self.nodes[name].address(CONTROL_PLANE) for name in names]
+        return [self.nodes[name].address(CONTROL_PLANE_OFFSET) for name in names]
 
-    def controls(self) -> list[str]:
-        """Return where operators and targets reach control instances, shuffled."""
+    def shuffled_controls(self) -> list[str]:
+        """Return the control addresses for operators and targets in random order."""
         addresses = list(self.control_addresses.values())
         self.rng.shuffle(addresses)
         return addresses
@@ -221,110 +243,122 @@
     # -- start and end ---------------------------------------------------
 
     async def start(self) -> None:
-        """Start stand-ins, relays and processes, and wait until entries serve."""
+        """Start fakes, relays, processes and heartbeats."""
         await self.start_targets()
         await self.connect_nodes()
         for name, node in self.nodes.items():
-            node.write_settings(self.seeds, self.apps.get(name, ""))
+            node.write_settings(self.seed_nodes, self.apps.get(name, ""))
             node.start()
-        for announcer in self.announcers.values():
+        for announcer in self.heartbeat_senders.values():
             announcer.start()
 
     async def start_targets(self) -> None:
-        """Start the stand-ins, each behind a relay."""
+        """Start the origin, engines and plain targets, each behind a relay."""
         count = len(self.shape.nodes)
-        await self.origin.start(self.host(count), STAND_IN_PORT)
-        self.origin.address = await self.relayed("origin", self.origin)
+        await self.origin.start(self.host(count), FAKE_PORT)
+        self.origin.address = await self.add_relay("origin", self.origin)
         for name in self.shape.sidecars:
-            engine = self.engines[name] = SoakEngine(self.origin, self.judge, name)
-            self.apps[name] = await self.announced(name, engine, self.nodes[name].host)
-            self.announcers[name].domain = self.nodes[name].domain
-        for number, name in enumerate(self.shape.plain):
-            plain = self.plain[name] = SoakPlain(self.judge, name)
-            await self.announced(name, plain, self.host(count + 1 + number))
-
-    async def announced(self, name: str, target: Listener, host: str) -> str:
-        """Start a target and its announcer; return where others reach it."""
-        await target.start(host, STAND_IN_PORT)
-        address = await self.relayed(f"{name}-target", target)
-        domain = sorted(DOMAINS)[len(self.announcers) % len(DOMAINS)]
-        self.announcers[name] = Announcer(target, address, domain, self.controls)
+            engine = self.engines[name] = SoakEngine(self.origin, self.checker, name)
+            self.apps[name] = await self.start_target(
+                name, engine, self.nodes[name].host
+            )
+            self.heartbeat_senders[name].failure_domain = self.nodes[
+                name
+            ].failure_domain
+        for number, name in enumerate(self.shape.plain_targets):
+            plain = self.plain_targets[name] = SoakPlainTarget(self.checker, name)
+            await self.start_target(name, plain, self.host(count + 1 + number))
+
+    async def start_target(self, name: str, target: Listener, host: str) -> str:
+        """Start a target, create its heartbeat sender, and return its address."""
+        await target.start(host, FAKE_PORT)
+        address = await self.add_relay(f"{name}-target", target)
+        domain = sorted(FAILURE_DOMAIN_REGIONS)[
+            len(self.heartbeat_senders) % len(FAILURE_DOMAIN_REGIONS)
+        ]
+        self.heartbeat_senders[name] = HeartbeatSender(
+            target, address, domain, self.shuffled_controls
+        )
         return address
 
-    async def relayed(self, name: str, listener: Listener) -> str:
-        """Put a relay in front of a stand-in."""
+    async def add_relay(self, name: str, listener: Listener) -> str:
+        """Add a relay in front of a fake; return its address."""
         host = listener.address.rpartition(":")[0]
-        return await self.network.add("", name, host, RELAY_PORT, STAND_IN_PORT)
+        return await self.network.add("", name, host, RELAY_PORT, FAKE_PORT)
 
     async def connect_nodes(self) -> None:
-        """Put a relay behind every port on which one process expects another."""
+        """Add a relay for every address at which one process expects another."""
         for caller in self.nodes.values():
             for name in self.shape.controls:
-                await self.connect(caller, self.nodes[name], CONTROL_WIRE)
+                await self.connect(caller, self.nodes[name], CONTROL_WIRE_OFFSET)
             if caller.role == "entry":
                 for name in self.shape.sidecars:
-                    await self.connect(caller, self.nodes[name], SIDECAR_WIRE)
+                    await self.connect(caller, self.nodes[name], SIDECAR_WIRE_OFFSET)
         for name in self.shape.entries:
-            address = await self.outside(self.nodes[name], FRONTEND)
+            address = await self.expose(self.nodes[name], FRONTEND_OFFSET)
             self.entry_addresses[name] = address
         for name in self.shape.controls:
-            address = await self.outside(self.nodes[name], CONTROL_PLANE)
+            address = await self.expose(self.nodes[name], CONTROL_PLANE_OFFSET)
             self.control_addresses[name] = address
 
     async def connect(self, caller: Node, callee: Node, offset: int) -> None:
-        """Relay from where `caller` expects `callee` to where it listens."""
+        """Relay from where `caller` expects `callee` to where `callee` listens."""
         if caller is callee:
             return
         await self.network.add(
             caller.name,
             callee.name,
             callee.host,
-            caller.base + offset,
-            callee.base + offset,
+            caller.first_port + offset,
+            callee.first_port + offset,
         )
 
-    async def outside(self, node: Node, offset: int) -> str:
-        """Relay from callers, operators and targets to a process."""
-        port = node.base + offset
+    async def expose(self, node: Node, offset: int) -> str:
+        """Add a relay from callers, operators and targets; return its address."""
+        port = node.first_port + offset
         return await self.network.add(
             "", node.name, node.host, RELAY_PORT + offset, port
         )
 
     async def stop(self) -> None:
-        """End everything that this run started."""
+        """Stop all processes, fakes and relays, and release the network."""
         for node in self.nodes.values():
             node.process.signal(signal.SIGCONT)
             node.kill()
-        for announcer in self.announcers.values():
+        for announcer in self.heartbeat_senders.values():
             await announcer.stop()
-        for target in (*self.engines.values(), *self.plain.values(), self.origin):
+        for target in (
+            *self.engines.values(),
+            *self.plain_targets.values(),
+            self.origin,
+        ):
             await target.stop()
         await self.network.stop()
-        self.claim.close()
+        self.reservation.close()
 
-    # -- harm ------------------------------------------------------------
+    # -- faults ----------------------------------------------------------
 
-    def rewrite(self, name: str, bootstrap: bool | None = None) -> None:
-        """Write a process's settings anew."""
+    def rewrite_settings(self, name: str, bootstrap: bool | None = None) -> None:
+        """Rewrite the settings file of a process with a new stamp."""
         node = self.nodes[name]
         if bootstrap is not None:
             node.bootstrap = bootstrap
         stamp = self.rng.randrange(1 << 30)
-        node.write_settings(self.seeds, self.apps.get(name, ""), stamp)
+        node.write_settings(self.seed_nodes, self.apps.get(name, ""), stamp)
 
     def wipe(self, name: str) -> None:
-        """Kill a control instance and empty its disk."""
+        """Kill a control instance and delete its data."""
         node = self.nodes[name]
         node.kill()
         shutil.rmtree(node.data)
-        self.rewrite(name, bootstrap=False)
+        self.rewrite_settings(name, bootstrap=False)
 
-    def tear(self, name: str) -> None:
-        """Kill a control instance as if a write that was not synced was torn.
+    def tear_write(self, name: str) -> None:
+        """Kill a control instance and leave a torn write at the end of its log.
 
-        Its log then ends in the beginning of a frame, or in bytes that never
-        reached the disk and read as zeros. Other bytes no torn write leaves, and
-        one that is down already writes none.
+        The log then ends in the beginning of a frame, or in zeros for bytes that
+        never reached the disk. A torn write leaves no other bytes. The log of an
+        instance that is already down is not changed, since it writes nothing.
         """
         node = self.nodes[name]
         was_up = node.is_up
@@ -340,43 +374,49 @@
             file.write(torn)
 
     async def supervise(self) -> None:
-        """Start again what ended by itself, as the platform does; it is a finding."""
+        """Record and restart processes that end by themselves, as the platform does."""
         while True:
-            await asyncio.sleep(RESTART_S)
+            await asyncio.sleep(RESTART_DELAY_S)
             for node in self.nodes.values():
-                if node.wanted and not node.is_up:
+                if node.should_run and not node.is_up:
                     status = node.process.popen.returncode
-                    self.judge.found("own exit", f"{node.name} ended with {status}")
+                    self.checker.add_finding(
+                        "own exit", f"{node.name} ended with {status}"
+                    )
                     node.start()
 
     def resident_bytes(self) -> int:
-        """Return the memory of all processes."""
+        """Return the resident memory of all running processes."""
         running = [node for node in self.nodes.values() if node.is_up]
         return sum(node.process.resident_bytes() for node in running)
 
 
-def free_block(ports: int) -> tuple[str, int, socket.socket]:
-    """Return the start of a loopback network, and a port range that is free on it.
+def reserve_network(ports: int) -> tuple[str, int, socket.socket]:
+    """Reserve a loopback network with a free port range.
 
-    The socket keeps the network from other runs until it is closed.
+    Returns
+    -------
+    (str, int, socket.socket)
+        First two bytes of the network's addresses, first port, and a socket that
+        reserves the network against other runs until it is closed.
     """
-    chooser = random.SystemRandom()
+    rng = random.SystemRandom()
     while True:
-        network = f"127.{chooser.randint(16, 240)}"
-        first = chooser.randrange(*FIRST_PORTS)
-        if first + ports >= STAND_IN_PORT or not is_free(f"{network}.1.1", first):
+        network = f"127.{rng.randint(16, 240)}"
+        first = rng.randrange(*FIRST_PORT_RANGE)
+        if first + ports >= FAKE_PORT or not is_port_free(f"{network}.1.1", first):
             continue
-        claim = socket.socket()
+        reservation = socket.socket()
         try:
-            claim.bind((f"{network}.255.254", STAND_IN_PORT))
+            reservation.bind((f"{network}.255.254", FAKE_PORT))
         except OSError:
-            claim.close()
+            reservation.close()
             continue
-        return network, first, claim
+        return network, first, reservation
 
 
-def is_free(host: str, port: int) -> bool:
-    """Tell whether nobody listens there."""
+def is_port_free(host: str, port: int) -> bool:
+    """Return whether an address can be bound."""
     with socket.socket() as probe:
         try:
             probe.bind((host, port))
--- /dev/null
+++ b/soak/invariants.py
@@ -0,0 +1,352 @@
+"""Check the observations of callers, targets and operators against invariants.
+
+Does no I/O.
+"""
+
+from collections import Counter, defaultdict
+from typing import NamedTuple
+
+from soak.plan import PLANNED_KINDS, Fault, FaultKind
+
+# Time after the end of a failure in which time bounds are still not checked.
+RECOVERY_S = 4.0
+# Time that a process has to end after a stop signal, and an allowance for the machine.
+STOP_GRACE_S = 8.0
+STOP_SLACK_S = 3.0
+# Time after the acknowledgement that a target is leaving (or after the response that
+# said so) from which on it gets no requests.
+DRAIN_BOUND_S = 2.5
+# Time after which no request starts on a superseded version of the weights.
+SUPERSEDED_BOUND_S = 8.5
+# Time after its acknowledgement from which on reads return a configuration.
+APPLY_BOUND_S = 2.0
+# Maximum number of requests of one entry that may reach a target during a cool-down,
+# not counting those already in transit when the target requested it.
+MAX_COOLDOWN_REQUESTS = 2
+IN_TRANSIT_S = 0.5
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+
+
+class SentRequest(NamedTuple):
+    """One request as a caller sends it."""
+
+    request_id: str
+    entry: str
+    method: str
+    path: str
+    body: bytes
+    at_s: float
+    idempotent: bool
+    max_targets: int
+
+
+class Execution(NamedTuple):
+    """One request that a target started to run."""
+
+    request_id: str
+    target_id: str
+    method: str
+    path: str
+    body: bytes
+    account: str
+    has_key: bool
+    at_s: float
+    version: int = 0
+
+
+class RequestResult(NamedTuple):
+    """How a request ended; status 0 if the connection closed before the headers."""
+
+    request_id: str
+    at_s: float
+    status: int
+    complete: bool
+    correct: bool
+
+
+class ReportedSignal(NamedTuple):
+    """What a target reported to one entry: it is leaving, or cools down.
+
+    `until_s` is the end of the cool-down; infinite if the target is leaving.
+    """
+
+    entry: str
+    target_id: str
+    at_s: float
+    until_s: float
+
+
+class Finding(NamedTuple):
+    """A violated invariant."""
+
+    invariant: str
+    detail: str
+
+
+class InvariantChecker:
+    """Records what was observed, and the invariants that it violates.
+
+    Parameters
+    ----------
+    account : str
+        Client account that the callers' key belongs to.
+    timed : bool
+        Whether time bounds are checked; they hold only on a machine that is not
+        busy otherwise.
+    """
+
+    def __init__(self, account: str, timed: bool = True):
+        self.account = account
+        self.timed = timed
+        self.sent: dict[str, SentRequest] = {}
+        self.executions: dict[str, list[Execution]] = defaultdict(list)
+        self.results: dict[str, RequestResult] = {}
+        self.faults: list[tuple[Fault, float, float]] = []
+        self.leaving_since_s: dict[str, float] = {}
+        self.signals: dict[tuple[str, str], list[ReportedSignal]] = defaultdict(list)
+        self.cooldown_requests: Counter[ReportedSignal] = Counter()
+        self.desired_since_s: dict[int, float] = {}
+        self.findings: list[Finding] = []
+        self.check_counts: Counter[str] = Counter()
+
+    def add_finding(self, invariant: str, detail: str) -> None:
+        """Record a violated invariant."""
+        self.findings.append(Finding(invariant, detail))
+
+    def check(self, invariant: str, holds: bool, detail: str) -> None:
+        """Count a check, and record a finding if it does not hold."""
+        self.check_counts[invariant] += 1
+        if not holds:
+            self.add_finding(invariant, detail)
+
+    # -- observations ----------------------------------------------------
+
+    def record_sent(self, sent: SentRequest) -> None:
+        """Record a request before it is sent."""
+        self.sent[sent.request_id] = sent
+
+    def record_execution(self, execution: Execution) -> None:
+        """Record and check a request that a target starts to run."""
+        sent = self.sent.get(execution.request_id)
+        self.check("known", sent is not None, f"{execution.request_id} was never sent")
+        if sent is None:
+            return
+        self.executions[execution.request_id].append(execution)
+        unchanged = (execution.method, execution.path, execution.body) == (
+            sent.method,
+            sent.path,
+            sent.body,
+        )
+        self.check("unchanged", unchanged, f"{execution} of {sent}")
+        self.check("account", execution.account == self.account, f"{execution}")
+        self.check(
+            "key",
+            not execution.has_key,
+            f"{execution.request_id}: the key was forwarded",
+        )
+        targets = {each.target_id for each in self.executions[execution.request_id]}
+        self.check("attempts", len(targets) <= sent.max_targets, f"{sent} at {targets}")
+        if not sent.idempotent:
+            once = len(self.executions[execution.request_id]) == 1
+            self.check("once", once, f"{self.executions[execution.request_id]}")
+        if self.timed:
+            self.check_drain(execution)
+            self.check_superseded_version(execution)
+
+    def record_result(self, result: RequestResult) -> None:
+        """Record and check how a request ended."""
+        self.results[result.request_id] = result
+        if result.status == 200 and result.complete:
+            self.check("whole", result.correct, f"{result} of {self.sent[result[0]]}")
+
+    def record_signal(
+        self, request_id: str, target_id: str, at_s: float, cooldown_s: float = 0.0
+    ) -> None:
+        """Record that a target reported to an entry that it leaves or cools down."""
+        if request_id in self.sent:
+            entry = self.sent[request_id].entry
+            until_s = at_s + cooldown_s if cooldown_s else float("inf")
+            signal = ReportedSignal(entry, target_id, at_s, until_s)
+            self.signals[entry, target_id].append(signal)
+
+    def record_arrival(self, request_id: str, target_id: str, at_s: float) -> None:
+        """Check the arrival of a request at a target against the target's signals."""
+        sent = self.sent.get(request_id)
+        if sent is None or not self.timed:
+            return
+        for signal in self.signals[sent.entry, target_id]:
+            if self.is_entry_disturbed(signal, at_s):
+                continue
+            if signal.until_s == float("inf"):
+                late = sent.at_s - signal.at_s > DRAIN_BOUND_S
+                self.check("leaving", not late, f"{sent} at {at_s:.2f} s, {signal}")
+            elif signal.at_s + IN_TRANSIT_S < at_s < signal.until_s:
+                self.cooldown_requests[signal] += 1
+                within_limit = self.cooldown_requests[signal] <= MAX_COOLDOWN_REQUESTS
+                self.check("rest", within_limit, f"{sent} at {at_s:.2f} s, {signal}")
+
+    # -- time bounds -----------------------------------------------------
+
+    def is_entry_disturbed(self, signal: ReportedSignal, to_s: float) -> bool:
+        """Return whether an entry was restarted, frozen or partitioned since a signal.
+
+        Signals of an engine that became unresponsive may not have reached the entry.
+        """
+        target = signal.target_id.rpartition("-")[0]
+        excused_faults = {
+            (FaultKind.ENGINE_UNRESPONSIVE, target),
+            (FaultKind.KILL_ALL, ""),
+        }
+        return any(
+            began_s <= to_s and ended_s + IN_TRANSIT_S >= signal.at_s
+            for fault, began_s, ended_s in self.faults
+            if fault.name == signal.entry or (fault.kind, fault.name) in excused_faults
+        )
+
+    def is_disturbed(
+        self, from_s: float, to_s: float, excluded: frozenset = PLANNED_KINDS
+    ) -> bool:
+        """Return whether a fault or the recovery time after it overlaps an interval.
+
+        Faults of the excluded kinds do not count; by default, planned operations.
+        """
+        return any(
+            began_s <= to_s and ended_s + RECOVERY_S >= from_s
+            for fault, began_s, ended_s in self.faults
+            if fault.kind not in excluded
+        )
+
+    def check_drain(self, execution: Execution) -> None:
+        """Check that a target gets no requests after it announced that it leaves."""
+        since_s = self.leaving_since_s.get(execution.target_id)
+        if since_s is None or self.is_disturbed(since_s - RECOVERY_S, execution.at_s):
+            return
+        sent_s = self.sent[execution.request_id].at_s
+        late = min(execution.at_s, sent_s) - since_s > DRAIN_BOUND_S
+        self.check("drain", not late, f"{execution} leaving since {since_s:.2f} s")
+
+    def check_superseded_version(self, execution: Execution) -> None:
+        """Check that no request starts on a version past its grace period."""
+        newer = [
+            at_s
+            for version, at_s in self.desired_since_s.items()
+            if version > execution.version
+        ]
+        if not execution.version or not newer:
+            return
+        since_s = min(newer)
+        if self.is_disturbed(since_s - RECOVERY_S, execution.at_s):
+            return
+        late = execution.at_s - since_s > SUPERSEDED_BOUND_S
+        self.check("version", not late, f"{execution} superseded at {since_s:.2f} s")
+
+    def check_stop(self, name: str, took_s: float, status: int | None) -> None:
+        """Check that a process ended in time and with status 0 after a stop signal."""
+        if self.timed:
+            self.check(
+                "grace",
+                took_s <= STOP_GRACE_S + STOP_SLACK_S,
+                f"{name}: {took_s:.1f} s",
+            )
+        self.check("exit", status in (0, None), f"{name} ended with {status}")
+
+    # -- the end ---------------------------------------------------------
+
+    def check_final(self) -> None:
+        """Check what can be judged only when all requests have ended."""
+        for result in self.results.values():
+            if result.status in NOT_EXECUTED_STATUSES:
+                executions = self.executions.get(result.request_id, [])
+                self.check("not run", not executions, f"{result} ran: {executions}")
+            self.check_truncated(result)
+
+    def check_truncated(self, result: RequestResult) -> None:
+        """Check that planned operations alone truncate no response."""
+        if result.complete or not self.timed:
+            return
+        sent = self.sent[result.request_id]
+        if not self.executions.get(result.request_id):
+            return
+        failures = frozenset(FaultKind) - PLANNED_KINDS
+        if not self.is_disturbed(sent.at_s, result.at_s, failures):
+            return
+        if not self.is_disturbed(sent.at_s - RECOVERY_S, result.at_s):
+            self.add_finding("cut", f"{result} of {sent}")
+        self.check_counts["cut"] += 1
+
+
+class ConfigurationHistory:
+    """Records configurations sent, acknowledged and rejected; checks reads of them."""
+
+    def __init__(self, checker: InvariantChecker):
+        self.checker = checker
+        self.sent_texts: dict[int, set[bytes]] = defaultdict(set)
+        self.rejected_texts: set[bytes] = set()
+        self.read_texts: dict[int, bytes] = {}
+        self.acknowledged_s: dict[int, float] = {}
+
+    def newest_acknowledged(self, before_s: float = float("inf")) -> int:
+        """Return the newest version acknowledged by a time; 0 if there is none."""
+        known = (v for v, at_s in self.acknowledged_s.items() if at_s <= before_s)
+        return max(known, default=0)
+
+    def record_sent(self, version: int, text: bytes) -> None:
+        """Record a configuration before it is sent."""
+        self.sent_texts[version].add(text)
+
+    def record_acknowledged(self, version: int, at_s: float) -> None:
+        """Record an acknowledgement."""
+        self.acknowledged_s.setdefault(version, at_s)
+
+    def record_rejected(self, text: bytes, is_valid: bool) -> None:
+        """Record a rejection, and check that the configuration is invalid."""
+        self.checker.check("valid accepted", not is_valid, f"rejected: {text[:80]!r}")
+        self.rejected_texts.add(text)
+
+    def check_read(self, version: int, text: bytes, sent_s: float) -> None:
+        """Check that a read returns what was sent and is not outdated."""
+        known = text in self.sent_texts.get(version, ())
+        self.checker.check(
+            "read as sent", known, f"version {version} reads {text[:80]!r}"
+        )
+        same = self.read_texts.setdefault(version, text) == text
+        self.checker.check("one content a version", same, f"{version}")
+        self.checker.check(
+            "refused in force", text not in self.rejected_texts, f"{version}"
+        )
+        oldest_allowed = self.newest_acknowledged(sent_s - APPLY_BOUND_S)
+        self.checker.check(
+            "read newest",
+            version >= oldest_allowed,
+            f"{version} after {oldest_allowed}",
+        )
+
+
+class VersionProgress:
+    """Checks that no incarnation of an entry goes back to an older configuration."""
+
+    def __init__(self, checker: InvariantChecker):
+        self.checker = checker
+        self.latest: dict[str, tuple[int, float]] = {}
+
+    def record(self, incarnation: str, oldest: int, newest: int, times: tuple) -> None:
+        """Record a response that implies a range of versions, and check it.
+
+        Parameters
+        ----------
+        incarnation : str
+            Incarnation of the entry, from sending the request to its response.
+        oldest, newest : int
+            Oldest and newest version that the response is consistent with.
+        times : (float, float)
+            When the request was sent, and when its response was read, in seconds.
+        """
+        sent_s, read_s = times
+        version, since_s = self.latest.get(incarnation, (0, 0.0))
+        if sent_s > since_s:
+            holds = newest >= version
+            self.checker.check(
+                "monotonic", holds, f"{incarnation}: {newest} < {version}"
+            )
+        if oldest > version:
+            self.latest[incarnation] = (oldest, read_s)
--- a/soak/operators.py
+++ b/soak/operators.py
@@ -1,4 +1,4 @@
-"""Operators that change the configuration and the weights, and read it back."""
+"""Operators that change the configuration and the weights, and read them back."""
 
 import asyncio
 import json
@@ -10,23 +10,24 @@
 import aiohttp
 from tests.fakes.platform import Origin, configuration
 
-from soak.callers import HOST, KEY, PATIENCE_S
-from soak.promises import ConfigurationHistory, Judge, Progression
+from soak.callers import HOST, KEY, REQUEST_TIMEOUT_S
+from soak.invariants import ConfigurationHistory, InvariantChecker, VersionProgress
 from soak.targets import PLAIN_SLOTS
 from wisteriapulley.platform import names
 
 log = logging.getLogger(__name__)
 
 ACCOUNT = "account-of-the-soak"
-CALL_S = 2.5
-PAUSE_S = 0.2
-READ_EVERY_S = 0.5
-# Routes of this many versions stay; a route tells which versions are in force.
-KEPT_ROUTES = 3
+CALL_TIMEOUT_S = 2.5
+RETRY_INTERVAL_S = 0.2
+READ_INTERVAL_S = 0.5
+# A configuration has probe routes of this many latest versions. Which of these routes
+# an entry knows shows which configuration is in force there.
+PROBE_ROUTE_COUNT = 3
 
 
-def table(version: int, origin: Origin, note: str = "") -> bytes:
-    """Make a configuration; `note` tells two of one version apart."""
+def make_configuration(version: int, origin: Origin, note: str = "") -> bytes:
+    """Return a configuration; `note` makes two of the same version differ."""
     text = json.loads(configuration(version, origin))
     model, once = text["routes"]
     model |= {"host": HOST, "path-prefix": "/stream/"}
@@ -40,7 +41,7 @@
     }
     probes = [
         safe | {"name": f"r-{number}", "path-prefix": f"/v/{number}/"}
-        for number in range(max(1, version - KEPT_ROUTES + 1), version + 1)
+        for number in range(max(1, version - PROBE_ROUTE_COUNT + 1), version + 1)
     ]
     text["routes"] = [model, once, safe, *probes]
     text["services"].append(
@@ -56,42 +57,44 @@
 
 
 class Operator:
-    """Changes, resends and reads.
+    """Changes configuration and weights, resends, and reads the configuration.
 
     Parameters
     ----------
-    judge : Judge
-        Told of everything.
+    checker : InvariantChecker
+        Records acknowledgements and checks reads.
     origin : Origin
-        Whose newest version is named.
+        Holds the newest version of the weights, which becomes the desired one.
     controls : callable
         Returns the addresses of control instances, in any order.
     seed : int
-        Of its choices.
+        Seeds the operator's random choices.
     """
 
-    def __init__(self, judge: Judge, origin: Origin, controls: Callable, seed: int):
-        self.judge = judge
+    def __init__(
+        self, checker: InvariantChecker, origin: Origin, controls: Callable, seed: int
+    ):
+        self.checker = checker
         self.origin = origin
         self.controls = controls
         self.rng = random.Random(seed)
-        self.history = ConfigurationHistory(judge)
+        self.history = ConfigurationHistory(checker)
         self.version = 0
         self.session: aiohttp.ClientSession | None = None
         self.tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
-        """Begin to read."""
-        timeout = aiohttp.ClientTimeout(total=CALL_S)
+        """Start reading the configuration."""
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         self.session = aiohttp.ClientSession(timeout=timeout)
         self.spawn(self.read_loop())
 
-    def spawn(self, work) -> None:
-        """Do something beside the rest."""
-        self.tasks.append(asyncio.get_running_loop().create_task(work))
+    def spawn(self, coroutine) -> None:
+        """Run a coroutine in the background."""
+        self.tasks.append(asyncio.get_running_loop().create_task(coroutine))
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Cancel all background tasks."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -99,53 +102,63 @@
 
     # -- changes ---------------------------------------------------------
 
-    def change(self) -> None:
-        """Send the next configuration until it is accepted."""
+    def send_next(self) -> None:
+        """Send the next version of the configuration until it is acknowledged."""
         self.version += 1
-        self.spawn(self.put(self.version, table(self.version, self.origin)))
-
-    def race(self) -> None:
-        """Let two operators send different ones under one number."""
+        self.spawn(
+            self.put_configuration(
+                self.version, make_configuration(self.version, self.origin)
+            )
+        )
+
+    def send_conflicting(self) -> None:
+        """Send two different configurations concurrently under one version."""
         self.version += 1
         for note in ("one", "other"):
-            text = table(self.version, self.origin, note)
-            self.spawn(self.put(self.version, text))
+            text = make_configuration(self.version, self.origin, note)
+            self.spawn(self.put_configuration(self.version, text))
 
-    def send_bad(self) -> None:
-        """Send one that must be refused; later ones must not mind."""
-        text = json.loads(table(self.version + 5, self.origin))
+    def send_invalid(self) -> None:
+        """Send a configuration that must be rejected without effect on later ones."""
+        text = json.loads(make_configuration(self.version + 5, self.origin))
         text["routes"][0]["service"] = "no-such-service"
-        self.spawn(self.put(self.version + 5, json.dumps(text).encode(), valid=False))
-
-    def name_weights(self) -> None:
-        """Name the next version of the weights."""
+        self.spawn(
+            self.put_configuration(
+                self.version + 5, json.dumps(text).encode(), valid=False
+            )
+        )
+
+    def set_desired_version(self) -> None:
+        """Make the next version of the weights the desired one."""
         self.origin.newest += 1
-        self.spawn(self.put_weights(self.origin.newest))
+        self.spawn(self.put_desired_version(self.origin.newest))
 
-    async def put(self, version: int, text: bytes, valid: bool = True) -> None:
-        """Send a configuration until it is acknowledged or refused."""
+    async def put_configuration(
+        self, version: int, text: bytes, valid: bool = True
+    ) -> None:
+        """Send a configuration until it is acknowledged or rejected."""
         if valid:
-            self.history.note_sent(version, text)
+            self.history.record_sent(version, text)
         while True:
             status = await self.call(names.REPLACE_CALL, text)
             if status == 200:
-                self.judge.check("invalid refused", valid, f"accepted {text[:80]!r}")
-                self.history.note_acknowledged(version, time.monotonic())
+                self.checker.check("invalid refused", valid, f"accepted {text[:80]!r}")
+                self.history.record_acknowledged(version, time.monotonic())
                 return
             if 400 <= status < 500 and status not in (408, 429):
-                self.history.note_refused(text, valid)
+                self.history.record_rejected(text, valid)
                 return
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def put_weights(self, version: int) -> None:
-        """Name a version until it is acknowledged."""
+    async def put_desired_version(self, version: int) -> None:
+        """Send a desired version of the weights until it is acknowledged."""
         order = json.dumps({"model": "model", "version": version}).encode()
         while await self.call(names.WEIGHTS_CALL, order) != 200:
-            await asyncio.sleep(PAUSE_S)
-        self.judge.named_s[version] = time.monotonic()
+            await asyncio.sleep(RETRY_INTERVAL_S)
+        self.checker.desired_since_s[version] = time.monotonic()
 
     async def call(self, path: str, body: bytes) -> int:
-        """Send to any control instance; 0 where no clear answer came."""
+        """Send to any control instance; return the status, 0 without a response."""
         address = self.rng.choice(self.controls())
         try:
             async with self.session.post(
@@ -160,15 +173,15 @@
     # -- reads -----------------------------------------------------------
 
     async def read_loop(self) -> None:
-        """Read at any instance, now and then."""
+        """Read the configuration from any instance at intervals."""
         while True:
-            await asyncio.sleep(READ_EVERY_S)
+            await asyncio.sleep(READ_INTERVAL_S)
             await self.read()
 
     async def read(self) -> int:
-        """Read the configuration; return its version, 0 if none came."""
+        """Read and check the configuration; return its version, 0 on failure."""
         address = self.rng.choice(self.controls())
-        asked_s = time.monotonic()
+        sent_s = time.monotonic()
         try:
             url = f"http://{address}{names.READ_CALL}"
             async with self.session.get(url) as answer:
@@ -179,26 +192,30 @@
             log.debug("read of %s: %r", address, error)
             return 0
         version = json.loads(text)["version"]
-        self.history.check_read(version, text, asked_s)
+        self.history.check_read(version, text, sent_s)
         return version
 
 
-class Prober:
-    """Asks an entry for routes that tell which configuration is in force there.
+class VersionProber:
+    """Probes an entry for routes that show which configuration is in force there.
 
     Parameters
     ----------
     entry : str
-        Its name.
+        Name of the entry.
     address : str
-        Where it is reached.
+        Address at which the entry is reached.
     incarnation : callable
-        Names the entry's process of the moment.
+        Returns the name of the entry's current incarnation.
     operator : Operator
-        Knows the versions that were sent.
+        Has the newest version that was sent.
+    progression : VersionProgress
+        Records and checks the versions that responses imply.
     """
 
-    def __init__(self, entry, address, incarnation, operator, progression: Progression):
+    def __init__(
+        self, entry, address, incarnation, operator, progression: VersionProgress
+    ):
         self.entry = entry
         self.address = address
         self.incarnation = incarnation
@@ -206,29 +223,30 @@
         self.progression = progression
         self.session: aiohttp.ClientSession | None = None
 
-    async def ask(self, version: int) -> int:
-        """Ask for the route of a version; return the status, 0 for none."""
+    async def probe(self, version: int) -> int:
+        """Request the route of a version; return the status, 0 without a response."""
         before, sent_s = self.incarnation(), time.monotonic()
-        status = await self.status_of(version)
+        status = await self.send_probe(version)
         if self.incarnation() != before:
             return status
         times = (sent_s, time.monotonic())
         if status == 404:
             newest = self.operator.version
-            # Not yet in force, or dropped again by a later version.
-            if newest - version < KEPT_ROUTES:
-                self.progression.note(before, 0, version - 1, times)
+            # Either the version is not yet in force, or a later version dropped its
+            # route, which is possible only after PROBE_ROUTE_COUNT newer versions.
+            if newest - version < PROBE_ROUTE_COUNT:
+                self.progression.record(before, 0, version - 1, times)
         elif status >= 200 and status != 503:
-            most = version + KEPT_ROUTES - 1
-            self.progression.note(before, version, most, times)
+            newest_possible = version + PROBE_ROUTE_COUNT - 1
+            self.progression.record(before, version, newest_possible, times)
         return status
 
-    async def status_of(self, version: int) -> int:
-        """Send a request that no caller's key allows: it runs nowhere."""
+    async def send_probe(self, version: int) -> int:
+        """Send a request with an unknown key, so that it is not executed."""
         headers = {
             "Host": HOST,
             names.REQUEST_ID: f"probe-{self.entry}-{time.monotonic_ns()}",
-            names.DEADLINE_MS: str(int(PATIENCE_S * 1000)),
+            names.DEADLINE_MS: str(int(REQUEST_TIMEOUT_S * 1000)),
             "Authorization": f"{names.BEARER_PREFIX}no-such-key",
         }
         url = f"http://{self.address}/v/{version}/"
@@ -241,10 +259,10 @@
             return 0
 
     async def run(self) -> None:
-        """Ask for ever."""
-        timeout = aiohttp.ClientTimeout(total=PATIENCE_S)
+        """Probe until cancelled."""
+        timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as self.session:
             while True:
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
                 if self.operator.version:
-                    await self.ask(self.operator.version)
+                    await self.probe(self.operator.version)
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,20 +1,20 @@
-"""Which fault comes when: drawn from a seed, and told as a timeline. Pure."""
+"""Draw the timeline of faults from a seed. Does no I/O."""
 
 import random
 from collections.abc import Iterator
 from enum import Enum
 from typing import NamedTuple
 
-# Before the first fault the fleet is whole and serves; after the last one it must
-# serve again.
-CALM_S = 3.0
-# A control instance that lost its disk is repaired this long after it is back.
-# Tolerance is one disk: another one is taken only then.
-REPAIR_S = 10.0
+# Fault-free time before the first fault and after the last one. The fleet serves
+# before the first fault and must serve again after the last one.
+SETTLE_S = 3.0
+# A control instance whose disk was wiped is repaired this long after its restart.
+# The system tolerates one lost disk, so no other disk is wiped before that.
+DISK_REPAIR_S = 10.0
 
 
-class Kind(Enum):
-    """What happens."""
+class FaultKind(Enum):
+    """Kind of a fault. Values appear in the output; member order affects the draws."""
 
     KILL = "kill"
     TERM = "term"
@@ -22,7 +22,7 @@
     KILL_CONTROLS = "kill_controls"
     KILL_ALL = "kill_all"
     WIPE = "wipe"
-    TORN = "torn"
+    TORN_WRITE = "torn"
     HUP = "hup"
     CUT = "cut"
     CUT_ONE_WAY = "cut_one_way"
@@ -30,192 +30,203 @@
     SILENCE = "silence"
     SLOW = "slow"
     ENGINE_CRASH = "engine_crash"
-    ENGINE_DARK = "engine_dark"
+    ENGINE_UNRESPONSIVE = "engine_dark"
     ENGINE_RELEASE = "engine_release"
     TARGET_GREY = "target_grey"
-    TARGET_REST = "target_rest"
-    ORIGIN_AWAY = "origin_away"
-    ORIGIN_GARBLE = "origin_garble"
-    STAGED_ROT = "staged_rot"
+    TARGET_COOLDOWN = "target_rest"
+    ORIGIN_UNREACHABLE = "origin_away"
+    ORIGIN_CORRUPTION = "origin_garble"
+    STAGED_CORRUPTION = "staged_rot"
     CONFIG = "config"
     CONFIG_RACE = "config_race"
-    CONFIG_BAD = "config_bad"
+    CONFIG_INVALID = "config_bad"
     WEIGHTS = "weights"
 
 
-# Planned work: requests must survive it. All others are failures.
-PLANNED = frozenset(
+# Planned operations, which no request may notice. All other kinds are failures.
+PLANNED_KINDS = frozenset(
     {
-        Kind.TERM,
-        Kind.HUP,
-        Kind.ENGINE_RELEASE,
-        Kind.TARGET_REST,
-        Kind.CONFIG,
-        Kind.CONFIG_RACE,
-        Kind.CONFIG_BAD,
-        Kind.WEIGHTS,
+        FaultKind.TERM,
+        FaultKind.HUP,
+        FaultKind.ENGINE_RELEASE,
+        FaultKind.TARGET_COOLDOWN,
+        FaultKind.CONFIG,
+        FaultKind.CONFIG_RACE,
+        FaultKind.CONFIG_INVALID,
+        FaultKind.WEIGHTS,
     }
 )
-NODE_KINDS = (Kind.KILL, Kind.TERM, Kind.FREEZE, Kind.HUP)
-LINK_KINDS = (Kind.CUT, Kind.CUT_ONE_WAY, Kind.RESET, Kind.SILENCE, Kind.SLOW)
-CONTROL_KINDS = (Kind.WIPE, Kind.TORN)
+NODE_KINDS = (FaultKind.KILL, FaultKind.TERM, FaultKind.FREEZE, FaultKind.HUP)
+LINK_KINDS = (
+    FaultKind.CUT,
+    FaultKind.CUT_ONE_WAY,
+    FaultKind.RESET,
+    FaultKind.SILENCE,
+    FaultKind.SLOW,
+)
+CONTROL_KINDS = (FaultKind.WIPE, FaultKind.TORN_WRITE)
 ENGINE_KINDS = (
-    Kind.ENGINE_CRASH,
-    Kind.ENGINE_DARK,
-    Kind.ENGINE_RELEASE,
-    Kind.STAGED_ROT,
+    FaultKind.ENGINE_CRASH,
+    FaultKind.ENGINE_UNRESPONSIVE,
+    FaultKind.ENGINE_RELEASE,
+    FaultKind.STAGED_CORRUPTION,
 )
-# How often each kind is drawn, against the others.
-WEIGHTS = {
-    Kind.KILL: 3,
-    Kind.TERM: 3,
-    Kind.FREEZE: 3,
-    Kind.KILL_CONTROLS: 1,
-    Kind.KILL_ALL: 1,
-    Kind.WIPE: 1,
-    Kind.TORN: 1,
-    Kind.HUP: 1,
-    Kind.CUT: 2,
-    Kind.CUT_ONE_WAY: 2,
-    Kind.RESET: 2,
-    Kind.SILENCE: 2,
-    Kind.SLOW: 1,
-    Kind.ENGINE_CRASH: 2,
-    Kind.ENGINE_DARK: 1,
-    Kind.ENGINE_RELEASE: 2,
-    Kind.TARGET_GREY: 1,
-    Kind.ORIGIN_AWAY: 1,
-    Kind.ORIGIN_GARBLE: 1,
-    Kind.STAGED_ROT: 1,
-    Kind.CONFIG: 4,
-    Kind.CONFIG_RACE: 2,
-    Kind.CONFIG_BAD: 1,
-    Kind.WEIGHTS: 2,
+# Relative frequency of each kind.
+DRAW_WEIGHTS = {
+    FaultKind.KILL: 3,
+    FaultKind.TERM: 3,
+    FaultKind.FREEZE: 3,
+    FaultKind.KILL_CONTROLS: 1,
+    FaultKind.KILL_ALL: 1,
+    FaultKind.WIPE: 1,
+    FaultKind.TORN_WRITE: 1,
+    FaultKind.HUP: 1,
+    FaultKind.CUT: 2,
+    FaultKind.CUT_ONE_WAY: 2,
+    FaultKind.RESET: 2,
+    FaultKind.SILENCE: 2,
+    FaultKind.SLOW: 1,
+    FaultKind.ENGINE_CRASH: 2,
+    FaultKind.ENGINE_UNRESPONSIVE: 1,
+    FaultKind.ENGINE_RELEASE: 2,
+    FaultKind.TARGET_GREY: 1,
+    FaultKind.ORIGIN_UNREACHABLE: 1,
+    FaultKind.ORIGIN_CORRUPTION: 1,
+    FaultKind.STAGED_CORRUPTION: 1,
+    FaultKind.CONFIG: 4,
+    FaultKind.CONFIG_RACE: 2,
+    FaultKind.CONFIG_INVALID: 1,
+    FaultKind.WEIGHTS: 2,
 }
 
 
-# Mean time between two targets that ask for rest. These are drawn apart, so that the
-# other faults of a seed stay what they are.
-REST_PAUSE_S = 4.0
+# Mean time between two cool-downs that targets request. These are drawn with a
+# separate generator, so that the other faults of a seed do not change.
+COOLDOWN_INTERVAL_S = 4.0
 
 
 class Fault(NamedTuple):
-    """One fault: `for_s` is how long it lasts, or until a process is started again."""
+    """One fault; `duration_s` is its length, or the time until a process restarts."""
 
     at_s: float
-    kind: Kind
+    kind: FaultKind
     name: str
-    for_s: float
+    duration_s: float
 
     def __str__(self) -> str:
         return (
-            f"{self.at_s:6.2f} s {self.kind.value} {self.name} for {self.for_s:.2f} s"
+            f"{self.at_s:6.2f} s {self.kind.value} {self.name}"
+            f" for {self.duration_s:.2f} s"
         )
 
 
-class Shape(NamedTuple):
+class FleetShape(NamedTuple):
     """Names of the processes and targets of a fleet."""
 
     controls: tuple[str, ...]
     entries: tuple[str, ...]
     sidecars: tuple[str, ...]
-    plain: tuple[str, ...]
+    plain_targets: tuple[str, ...]
 
     @property
     def nodes(self) -> tuple[str, ...]:
-        """Return every process of the system."""
+        """Names of all processes of the system."""
         return self.controls + self.entries + self.sidecars
 
     @classmethod
-    def of_size(cls, entries: int, engines: int) -> "Shape":
-        """Name three control instances, and so many entries and engines."""
+    def of_size(cls, entries: int, engines: int) -> "FleetShape":
+        """Return names of three control instances and the given entries and engines."""
         return cls(
-            names("control", 3),
-            names("entry", entries),
-            names("sidecar", engines),
-            names("plain", 2),
+            numbered_names("control", 3),
+            numbered_names("entry", entries),
+            numbered_names("sidecar", engines),
+            numbered_names("plain", 2),
         )
 
 
-def names(role: str, count: int) -> tuple[str, ...]:
-    """Return numbered names."""
+def numbered_names(role: str, count: int) -> tuple[str, ...]:
+    """Return `count` names of the form ``role-1``."""
     return tuple(f"{role}-{number}" for number in range(1, count + 1))
 
 
-def draw(seed: int, seconds: float, shape: Shape, pause_s: float = 1.2) -> list[Fault]:
-    """Draw the faults of a run: single ones, series and overlaps.
+def draw_faults(
+    seed: int, seconds: float, shape: FleetShape, mean_interval_s: float = 1.2
+) -> list[Fault]:
+    """Return the faults of a run: single faults, series and overlapping faults.
 
     Parameters
     ----------
     seed : int
-        The same seed gives the same faults.
+        Determines the faults.
     seconds : float
-        From the first fault to the last.
-    shape : Shape
-        Whom they may meet.
+        Time in which faults start.
+    shape : FleetShape
+        Processes and targets that faults can affect.
     pause_s : float
-        Mean time between two of them.
+        Mean time between two faults or series.
     """
     faults = [
-        *drawn(random.Random(seed), seconds, shape, pause_s),
-        *rests(random.Random(f"rests/{seed}"), seconds, shape),
+        *draw_series(random.Random(seed), seconds, shape, mean_interval_s),
+        *draw_cooldowns(random.Random(f"rests/{seed}"), seconds, shape),
     ]
-    return list(admissible(sorted(faults, key=lambda fault: fault.at_s)))
+    return list(drop_early_wipes(sorted(faults, key=lambda fault: fault.at_s)))
 
 
-def rests(rng: random.Random, seconds: float, shape: Shape) -> Iterator[Fault]:
-    """Yield targets that turn all requests away and ask for rest."""
-    at_s = CALM_S + rng.expovariate(1 / REST_PAUSE_S)
-    while at_s < CALM_S + seconds:
-        name = rng.choice(candidates(Kind.TARGET_REST, shape))
-        yield Fault(at_s, Kind.TARGET_REST, name, rng.uniform(1.0, 3.0))
-        at_s += rng.expovariate(1 / REST_PAUSE_S)
+def draw_cooldowns(
+    rng: random.Random, seconds: float, shape: FleetShape
+) -> Iterator[Fault]:
+    """Yield faults in which a target rejects all requests and requests a cool-down."""
+    at_s = SETTLE_S + rng.expovariate(1 / COOLDOWN_INTERVAL_S)
+    while at_s < SETTLE_S + seconds:
+        name = rng.choice(candidates(FaultKind.TARGET_COOLDOWN, shape))
+        yield Fault(at_s, FaultKind.TARGET_COOLDOWN, name, rng.uniform(1.0, 3.0))
+        at_s += rng.expovariate(1 / COOLDOWN_INTERVAL_S)
 
 
-def drawn(
-    rng: random.Random, seconds: float, shape: Shape, pause_s: float
+def draw_series(
+    rng: random.Random, seconds: float, shape: FleetShape, mean_interval_s: float
 ) -> Iterator[Fault]:
-    """Yield faults in their order; one in five is a series of its kind."""
-    at_s = CALM_S
-    kinds, weights = tuple(WEIGHTS), tuple(WEIGHTS.values())
-    while at_s < CALM_S + seconds:
+    """Yield all other faults in order of time; one in five starts a series."""
+    at_s = SETTLE_S
+    kinds, weights = tuple(DRAW_WEIGHTS), tuple(DRAW_WEIGHTS.values())
+    while at_s < SETTLE_S + seconds:
         kind = rng.choices(kinds, weights)[0]
         for repeat in range(rng.choice((1, 1, 1, 1, 3))):
             name = rng.choice(candidates(kind, shape))
-            # Repeats are closer to each other than they last: they overlap.
-            again_s = repeat * rng.uniform(0.05, 0.8)
-            yield Fault(at_s + again_s, kind, name, rng.uniform(0.1, 3.0))
-        at_s += rng.expovariate(1 / pause_s)
+            # Repeats start sooner than the previous one ends, so they overlap.
+            offset_s = repeat * rng.uniform(0.05, 0.8)
+            yield Fault(at_s + offset_s, kind, name, rng.uniform(0.1, 3.0))
+        at_s += rng.expovariate(1 / mean_interval_s)
 
 
-def candidates(kind: Kind, shape: Shape) -> tuple[str, ...]:
-    """Return whom a kind of fault may meet."""
+def candidates(kind: FaultKind, shape: FleetShape) -> tuple[str, ...]:
+    """Return the names that a kind of fault can affect, or one empty name."""
     if kind in CONTROL_KINDS:
         return shape.controls
     if kind in ENGINE_KINDS:
         return shape.sidecars
     if kind in NODE_KINDS or kind in LINK_KINDS:
         return shape.nodes
-    if kind is Kind.TARGET_REST:
-        return shape.plain + shape.sidecars
-    return shape.plain if kind is Kind.TARGET_GREY else ("",)
+    if kind is FaultKind.TARGET_COOLDOWN:
+        return shape.plain_targets + shape.sidecars
+    return shape.plain_targets if kind is FaultKind.TARGET_GREY else ("",)
 
 
-def admissible(faults: list[Fault]) -> Iterator[Fault]:
-    """Leave out disks that are lost before the last loss was repaired.
+def drop_early_wipes(faults: list[Fault]) -> Iterator[Fault]:
+    """Drop each disk wipe that comes before the previous one is repaired.
 
-    A repair takes a majority, so whatever takes control instances away meanwhile
-    puts its end off; no disk is taken until all of that is over.
+    A repair needs a quorum, so a fault that affects control instances meanwhile
+    delays it; no disk is wiped until these faults are over too.
     """
-    whole_s = 0.0
+    repaired_s = 0.0
     for fault in faults:
-        if fault.kind is Kind.WIPE and fault.at_s < whole_s:
+        if fault.kind is FaultKind.WIPE and fault.at_s < repaired_s:
             continue
-        if fault.kind is Kind.WIPE:
-            whole_s = fault.at_s + fault.for_s + REPAIR_S
+        if fault.kind is FaultKind.WIPE:
+            repaired_s = fault.at_s + fault.duration_s + DISK_REPAIR_S
         elif "control" in fault.name or fault.kind in (
-            Kind.KILL_CONTROLS,
-            Kind.KILL_ALL,
+            FaultKind.KILL_CONTROLS,
+            FaultKind.KILL_ALL,
         ):
-            whole_s = max(whole_s, fault.at_s + fault.for_s + REPAIR_S)
+            repaired_s = max(repaired_s, fault.at_s + fault.duration_s + DISK_REPAIR_S)
         yield fault
--- a/soak/regressions.py
+++ b/soak/regressions.py
@@ -1,10 +1,10 @@
-"""Seeds that once showed something, each with its cause."""
+"""Seeds that failed before, each with the cause of its failure."""
 
 from typing import NamedTuple
 
 
 class Regression(NamedTuple):
-    """A seed, the length that it was played with, and why it failed."""
+    """A seed, the fault time it was run with in seconds, and why it failed."""
 
     seed: int
     seconds: float
@@ -12,25 +12,33 @@
 
 
 REGRESSIONS = (
-    Regression(1924131696, 30.0, "a stop during the imports ended with -15, not 0"),
+    Regression(
+        1924131696, 30.0, "exit status -15, not 0, for a stop signal during the imports"
+    ),
     Regression(
         1174528048,
         30.0,
-        "the soak tore logs as no disk does: two instances stopped with LOG_DAMAGED",
+        "the soak test corrupted logs in a way that no disk does: two instances"
+        " stopped with LOG_DAMAGED",
     ),
     Regression(
         2018774583,
         20.0,
-        "a stop before the first own line ended with -15; the soak tore a log twice"
-        " while its instance was down, as no disk does: LOG_DAMAGED",
+        "exit status -15 for a stop signal before the program's first line; the soak"
+        " test tore a log twice while its instance was down, as no disk does:"
+        " LOG_DAMAGED",
+    ),
+    Regression(
+        425507962,
+        20.0,
+        "exit status -15 for a stop signal before the program's first line",
     ),
-    Regression(425507962, 20.0, "a stop before the first own line ended with -15"),
     Regression(
         1401761072,
         15.0,
-        "an engine that started again within a report's time counted as leaving for"
-        " ever, so that it never loaded weights",
+        "an engine that restarted within one report interval was treated as leaving"
+        " forever and never loaded weights",
     ),
-    Regression(1184179776, 15.0, "the same engine that counted as leaving"),
-    Regression(2, 8.0, "the stand-in engine failed after it had told of a run"),
+    Regression(1184179776, 15.0, "a restarted engine was treated as leaving, as above"),
+    Regression(2, 8.0, "the fake engine failed after it had recorded an execution"),
 )
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one seed: the fleet, its callers and operators, and the drawn faults."""
+"""Run one seed: the fleet, its callers and operators, and the drawn faults."""
 
 import asyncio
 import logging
@@ -10,24 +10,24 @@
 from typing import NamedTuple
 
 from soak.callers import Caller
-from soak.fleet import START_S, SoakFleet
-from soak.operators import ACCOUNT, Operator, Prober
-from soak.plan import CALM_S, Fault, Kind, Shape, draw
-from soak.promises import Finding, Judge, Progression
+from soak.fleet import START_TIMEOUT_S, SoakFleet
+from soak.invariants import Finding, InvariantChecker, VersionProgress
+from soak.operators import ACCOUNT, Operator, VersionProber
+from soak.plan import SETTLE_S, Fault, FaultKind, FleetShape, draw_faults
 
 log = logging.getLogger(__name__)
 
-CALLERS_EACH = 3
-# After the last fault everything must serve again; bounds of the platform's are
-# shorter, but the machine may be busy.
-RECOVER_S = 60.0
-SERVED_IN_A_ROW = 20
-SLOW_BYTES_S = 40_000.0
-DARK_LEAST_S = 0.5
+CALLERS_PER_ENTRY = 3
+# Time after the last fault in which everything must serve again. The platform's bounds
+# are shorter, but the machine may be busy.
+RECOVERY_TIMEOUT_S = 60.0
+RECOVERY_REQUESTS = 20
+THROTTLED_BYTES_PER_S = 40_000.0
+MIN_UNRESPONSIVE_S = 0.5
 
 
 class Outcome(NamedTuple):
-    """What a seed showed."""
+    """Outcome of a seed. The field names appear in the JSON output."""
 
     seed: int
     processes: int
@@ -40,82 +40,87 @@
 
 
 class SoakRun:
-    """One seed.
+    """Run of one seed.
 
     Parameters
     ----------
     folder : Path
-        Kept when something was found.
+        Folder for settings, logs and data.
     seed : int
-        Draws the faults.
+        Determines the faults.
     seconds : float
-        How long faults come.
-    shape : Shape
-        Size of the fleet.
+        Time in which faults start.
+    shape : FleetShape
+        Names of the processes and targets.
     timed : bool
-        Whether promises with a bound in time are checked.
+        Whether time bounds are checked.
     """
 
     def __init__(
-        self, folder: Path, seed: int, seconds: float, shape: Shape, timed: bool = True
+        self,
+        folder: Path,
+        seed: int,
+        seconds: float,
+        shape: FleetShape,
+        timed: bool = True,
     ):
         self.seed = seed
         self.shape = shape
-        self.judge = Judge(ACCOUNT, timed)
-        self.fleet = SoakFleet(folder, shape, self.judge, seed)
+        self.checker = InvariantChecker(ACCOUNT, timed)
+        self.fleet = SoakFleet(folder, shape, self.checker, seed)
         self.operator = Operator(
-            self.judge, self.fleet.origin, self.fleet.controls, seed
+            self.checker, self.fleet.origin, self.fleet.shuffled_controls, seed
         )
-        self.progression = Progression(self.judge)
-        self.plan = draw(seed, seconds, shape)
+        self.progression = VersionProgress(self.checker)
+        self.plan = draw_faults(seed, seconds, shape)
         self.callers: list[Caller] = []
-        self.watching: list[asyncio.Task] = []
-        self.harm: set[asyncio.Task] = set()
+        self.background_tasks: list[asyncio.Task] = []
+        self.fault_tasks: set[asyncio.Task] = set()
 
-    async def play(self) -> Outcome:
-        """Play the seed to its end."""
+    async def run(self) -> Outcome:
+        """Run the seed to its end."""
         began_s = time.monotonic()
         try:
             await self.start()
-            await self.inject()
-            await self.recover()
+            await self.inject_faults()
+            await self.verify_recovery()
             resident = self.fleet.resident_bytes()
         finally:
             await self.stop()
-        self.judge.close()
+        self.checker.check_final()
         return Outcome(
             self.seed,
             len(self.shape.nodes),
             round(time.monotonic() - began_s, 1),
             dict(Counter(fault.kind.value for fault in self.plan)),
-            dict(sum((c.outcomes for c in self.callers), Counter())),
-            dict(self.judge.checked),
+            dict(sum((c.status_counts for c in self.callers), Counter())),
+            dict(self.checker.check_counts),
             resident >> 20,
-            tuple(self.judge.findings),
+            tuple(self.checker.findings),
         )
 
     async def start(self) -> None:
-        """Start everything, and wait until all is served."""
+        """Start everything, and wait until all callers are served."""
         await self.fleet.start()
         loop = asyncio.get_running_loop()
-        self.watching.append(loop.create_task(self.fleet.supervise()))
+        self.background_tasks.append(loop.create_task(self.fleet.supervise()))
         self.operator.start()
-        self.operator.change()
-        await self.until("the first configuration", self.is_configured)
+        self.operator.send_next()
+        await self.wait_until("the first configuration", self.is_configured)
         for name, address in self.fleet.entry_addresses.items():
             self.callers += [
-                Caller(f"{name}-{number}", name, address, self.judge)
-                for number in range(CALLERS_EACH)
+                Caller(f"{name}-{number}", name, address, self.checker)
+                for number in range(CALLERS_PER_ENTRY)
             ]
-            self.watching.append(self.probe(name, address))
+            self.background_tasks.append(self.start_prober(name, address))
         for caller in self.callers:
             caller.start()
-        await self.until("the first answers", self.all_served)
+        await self.wait_until("the first answers", self.all_callers_served)
 
-    def probe(self, name: str, address: str) -> asyncio.Task:
-        """Begin to ask an entry which configuration is in force there."""
+    def start_prober(self, name: str, address: str) -> asyncio.Task:
+        """Start probing which configuration is in force at an entry."""
         node = self.fleet.nodes[name]
-        prober = Prober(
+        prober = VersionProber(
             name,
             address,
             lambda: f"{name}/{node.incarnation}",
@@ -125,107 +130,111 @@
         return asyncio.get_running_loop().create_task(prober.run())
 
     async def stop(self) -> None:
-        """End everything."""
-        for task in (*self.watching, *self.harm):
+        """Stop all tasks, callers, operators and processes."""
+        for task in (*self.background_tasks, *self.fault_tasks):
             task.cancel()
-        await asyncio.gather(*self.watching, *self.harm, return_exceptions=True)
+        await asyncio.gather(
+            *self.background_tasks, *self.fault_tasks, return_exceptions=True
+        )
         for caller in self.callers:
             await caller.stop()
         await self.operator.stop()
         await self.fleet.stop()
 
-    async def until(self, what: str, check) -> bool:
-        """Wait for a condition, however long a busy machine takes."""
+    async def wait_until(self, description: str, check) -> bool:
+        """Wait for a condition, long enough for a busy machine; else add a finding."""
         try:
-            async with asyncio.timeout(max(START_S, RECOVER_S)):
+            async with asyncio.timeout(max(START_TIMEOUT_S, RECOVERY_TIMEOUT_S)):
                 while not await check():
                     await asyncio.sleep(0.1)
         except TimeoutError:
-            self.judge.found("recover", f"{what}: not within {RECOVER_S:.0f} s")
+            self.checker.add_finding(
+                "recover", f"{description}: not within {RECOVERY_TIMEOUT_S:.0f} s"
+            )
             return False
-        self.judge.checked["recover"] += 1
+        self.checker.check_counts["recover"] += 1
         return True
 
     async def is_configured(self) -> bool:
-        """Tell whether the newest acknowledged configuration is read."""
+        """Return whether a read returns the newest acknowledged configuration."""
         newest = self.operator.history.newest_acknowledged()
         return 0 < newest <= await self.operator.read()
 
-    async def all_served(self) -> bool:
-        """Tell whether each caller was served by now."""
-        return all(caller.outcomes[200] for caller in self.callers)
+    async def all_callers_served(self) -> bool:
+        """Return whether each caller has received a successful response."""
+        return all(caller.status_counts[200] for caller in self.callers)
 
     # -- faults ----------------------------------------------------------
 
-    async def inject(self) -> None:
-        """Inject the drawn faults at their times."""
+    async def inject_faults(self) -> None:
+        """Inject the drawn faults at their times, and wait for their end."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         for fault in self.plan:
             await asyncio.sleep(began_s + fault.at_s - loop.time())
             log.info("%s", fault)
-            task = loop.create_task(self.suffer(fault))
-            self.harm.add(task)
-            task.add_done_callback(self.harm.discard)
-        while self.harm:
-            await asyncio.wait(set(self.harm))
-        await asyncio.sleep(CALM_S)
-
-    async def suffer(self, fault: Fault) -> None:
-        """Let one fault happen, and note from when to when it lasted."""
+            task = loop.create_task(self.run_fault(fault))
+            self.fault_tasks.add(task)
+            task.add_done_callback(self.fault_tasks.discard)
+        while self.fault_tasks:
+            await asyncio.wait(set(self.fault_tasks))
+        await asyncio.sleep(SETTLE_S)
+
+    async def run_fault(self, fault: Fault) -> None:
+        """Run one fault, and record its start and end."""
         began_s = time.monotonic()
-        number = len(self.judge.faults)
-        self.judge.faults.append((fault, began_s, float("inf")))
+        number = len(self.checker.faults)
+        self.checker.faults.append((fault, began_s, float("inf")))
         try:
-            await FAULTS[fault.kind](self, fault)
+            await FAULT_ACTIONS[fault.kind](self, fault)
         except Exception as error:
             log.exception("fault %s", fault)
-            self.judge.found("soak", f"{fault}: {error!r}")
-        self.judge.faults[number] = (fault, began_s, time.monotonic())
+            self.checker.add_finding("soak", f"{fault}: {error!r}")
+        self.checker.faults[number] = (fault, began_s, time.monotonic())
 
     async def kill(self, fault: Fault, names: tuple[str, ...] = ()) -> None:
-        """Kill processes, and start them again."""
+        """Kill processes and restart them."""
         for name in names or (fault.name,):
             self.fleet.nodes[name].kill()
         await self.restart(fault, names)
 
     async def restart(self, fault: Fault, names: tuple[str, ...] = ()) -> None:
-        """Start processes again after the fault's time."""
-        await asyncio.sleep(fault.for_s)
+        """Restart processes after the fault's duration."""
+        await asyncio.sleep(fault.duration_s)
         for name in names or (fault.name,):
             self.fleet.nodes[name].start()
 
     async def term(self, fault: Fault) -> None:
-        """Stop a process as planned, and start it again."""
-        await self.fleet.nodes[fault.name].stop(self.judge)
+        """Stop a process with a stop signal and restart it."""
+        await self.fleet.nodes[fault.name].stop(self.checker)
         await self.restart(fault)
 
     async def freeze(self, fault: Fault) -> None:
-        """Pause a process."""
+        """Suspend a process."""
         process = self.fleet.nodes[fault.name].process
         process.signal(signal.SIGSTOP)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         process.signal(signal.SIGCONT)
 
     async def wipe(self, fault: Fault) -> None:
-        """Take a disk."""
+        """Kill a control instance, delete its data and restart it."""
         self.fleet.wipe(fault.name)
         await self.restart(fault)
 
-    async def tear(self, fault: Fault) -> None:
-        """Tear a write that was not synced."""
-        self.fleet.tear(fault.name)
+    async def tear_write(self, fault: Fault) -> None:
+        """Kill a control instance during an unsynced write and restart it."""
+        self.fleet.tear_write(fault.name)
         await self.restart(fault)
 
-    async def hup(self, fault: Fault) -> None:
-        """Change a settings file, and signal it."""
-        self.fleet.rewrite(fault.name)
+    async def reload_settings(self, fault: Fault) -> None:
+        """Change the settings file of a process and send it SIGHUP."""
+        self.fleet.rewrite_settings(fault.name)
         self.fleet.nodes[fault.name].process.signal(signal.SIGHUP)
 
-    async def cut(self, fault: Fault, both_ways: bool = True) -> None:
-        """Cut a process off."""
-        self.fleet.network.cut_off(fault.name, both_ways)
-        await asyncio.sleep(fault.for_s)
+    async def partition(self, fault: Fault, both_ways: bool = True) -> None:
+        """Partition a process from all others, in one or both directions."""
+        self.fleet.network.partition(fault.name, both_ways)
+        await asyncio.sleep(fault.duration_s)
         self.fleet.network.heal(fault.name)
 
     async def reset(self, fault: Fault) -> None:
@@ -233,124 +242,124 @@
         await self.fleet.network.reset(fault.name)
 
     async def silence(self, fault: Fault) -> None:
-        """Let the connections of a process go silent; new ones work."""
-        for path in self.fleet.network.of(fault.name):
+        """Silence the current connections of a process; new ones work."""
+        for path in self.fleet.network.paths_touching(fault.name):
             path.silence()
 
-    async def slow(self, fault: Fault) -> None:
-        """Narrow the paths of a process."""
-        for path in self.fleet.network.of(fault.name):
-            path.throttle(SLOW_BYTES_S)
-        await asyncio.sleep(fault.for_s)
+    async def throttle(self, fault: Fault) -> None:
+        """Limit the bandwidth of all paths of a process."""
+        for path in self.fleet.network.paths_touching(fault.name):
+            path.throttle(THROTTLED_BYTES_PER_S)
+        await asyncio.sleep(fault.duration_s)
         self.fleet.network.heal(fault.name)
 
     # -- targets ---------------------------------------------------------
 
     async def engine_crash(self, fault: Fault) -> None:
-        """Crash an engine; its heartbeats then come from a new incarnation."""
+        """Crash an engine; it continues as a new incarnation."""
         self.fleet.engines[fault.name].crash()
 
-    async def engine_dark(self, fault: Fault) -> None:
-        """Let an engine answer nobody for a while."""
-        paths = self.fleet.network.of(f"{fault.name}-target")
+    async def engine_unresponsive(self, fault: Fault) -> None:
+        """Make an engine unresponsive."""
+        paths = self.fleet.network.paths_touching(f"{fault.name}-target")
         for path in paths:
             path.hold()
-        await asyncio.sleep(max(DARK_LEAST_S, fault.for_s))
+        await asyncio.sleep(max(MIN_UNRESPONSIVE_S, fault.duration_s))
         for path in paths:
             path.heal()
 
     async def engine_release(self, fault: Fault) -> None:
-        """Let an engine leave as planned, and come back."""
-        await self.fleet.announcers[fault.name].release(self.judge)
+        """Let an engine leave as planned and restart."""
+        await self.fleet.heartbeat_senders[fault.name].leave_and_restart(self.checker)
 
     async def target_grey(self, fault: Fault) -> None:
-        """Let a plain target fail half of its requests."""
-        target = self.fleet.plain[fault.name]
+        """Make a plain target fail half of its requests."""
+        target = self.fleet.plain_targets[fault.name]
         target.grey = True
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         target.grey = False
 
-    async def target_rest(self, fault: Fault) -> None:
-        """Let a target turn all requests away, and ask for rest."""
-        targets = {**self.fleet.plain, **self.fleet.engines}
+    async def target_cooldown(self, fault: Fault) -> None:
+        """Make a target reject all requests and request a cool-down."""
+        targets = {**self.fleet.plain_targets, **self.fleet.engines}
         target = targets[fault.name]
-        target.rest_s = round(fault.for_s, 2)
-        await asyncio.sleep(fault.for_s)
-        target.rest_s = 0.0
+        target.cooldown_s = round(fault.duration_s, 2)
+        await asyncio.sleep(fault.duration_s)
+        target.cooldown_s = 0.0
 
-    async def origin_away(self, fault: Fault) -> None:
-        """Cut the origin off."""
-        (path,) = self.fleet.network.of("origin")
+    async def origin_unreachable(self, fault: Fault) -> None:
+        """Make the origin unreachable."""
+        (path,) = self.fleet.network.paths_touching("origin")
         path.cut()
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         path.heal()
 
-    async def origin_garble(self, fault: Fault) -> None:
-        """Let the origin hand out spoilt pieces."""
+    async def origin_corruption(self, fault: Fault) -> None:
+        """Make the origin send corrupted pieces."""
         count = self.fleet.origin.chunks
         self.fleet.origin.spoil |= {self.fleet.rng.randrange(count) for _ in range(3)}
 
-    async def staged_rot(self, fault: Fault) -> None:
-        """Let pieces turn bad as they are staged."""
+    async def staged_corruption(self, fault: Fault) -> None:
+        """Corrupt a piece when the engine stages it."""
         count = self.fleet.origin.chunks
         self.fleet.engines[fault.name].rot |= {self.fleet.rng.randrange(count)}
 
     # -- operators -------------------------------------------------------
 
-    async def operate(self, fault: Fault, act) -> None:
-        """Let an operator do something."""
-        act(self.operator)
+    async def operate(self, fault: Fault, action) -> None:
+        """Run an action of the operator."""
+        action(self.operator)
 
     # -- the end ---------------------------------------------------------
 
-    async def recover(self) -> None:
-        """Check that all that was accepted is in force, and that all is served."""
+    async def verify_recovery(self) -> None:
+        """Check that accepted changes are in force and all callers are served again."""
         for node in self.fleet.nodes.values():
             node.start()
-        await self.until("the newest configuration", self.is_configured)
-        await self.until("the newest weights", self.has_weights)
-        before = {caller.name: caller.outcomes[200] for caller in self.callers}
+        await self.wait_until("the newest configuration", self.is_configured)
+        await self.wait_until("the newest weights", self.has_desired_weights)
+        before = {caller.name: caller.status_counts[200] for caller in self.callers}
 
         async def served_again() -> bool:
             return all(
-                caller.outcomes[200] >= before[caller.name] + SERVED_IN_A_ROW
+                caller.status_counts[200] >= before[caller.name] + RECOVERY_REQUESTS
                 for caller in self.callers
             )
 
-        await self.until("answers for all callers", served_again)
+        await self.wait_until("answers for all callers", served_again)
         bad = sum(engine.bad_loads for engine in self.fleet.engines.values())
-        self.judge.check("whole weights", not bad, f"{bad} loads of other pieces")
+        self.checker.check("whole weights", not bad, f"{bad} loads of other pieces")
 
-    async def has_weights(self) -> bool:
-        """Tell whether every engine holds the newest weights."""
-        newest = max(self.judge.named_s, default=1)
+    async def has_desired_weights(self) -> bool:
+        """Return whether every engine holds the newest desired weights."""
+        newest = max(self.checker.desired_since_s, default=1)
         return all(e.version >= newest for e in self.fleet.engines.values())
 
 
-FAULTS = {
-    Kind.KILL: SoakRun.kill,
-    Kind.TERM: SoakRun.term,
-    Kind.FREEZE: SoakRun.freeze,
-    Kind.KILL_CONTROLS: lambda run, fault: run.kill(fault, run.shape.controls),
-    Kind.KILL_ALL: lambda run, fault: run.kill(fault, run.shape.nodes),
-    Kind.WIPE: SoakRun.wipe,
-    Kind.TORN: SoakRun.tear,
-    Kind.HUP: SoakRun.hup,
-    Kind.CUT: SoakRun.cut,
-    Kind.CUT_ONE_WAY: partial(SoakRun.cut, both_ways=False),
-    Kind.RESET: SoakRun.reset,
-    Kind.SILENCE: SoakRun.silence,
-    Kind.SLOW: SoakRun.slow,
-    Kind.ENGINE_CRASH: SoakRun.engine_crash,
-    Kind.ENGINE_DARK: SoakRun.engine_dark,
-    Kind.ENGINE_RELEASE: SoakRun.engine_release,
-    Kind.TARGET_GREY: SoakRun.target_grey,
-    Kind.TARGET_REST: SoakRun.target_rest,
-    Kind.ORIGIN_AWAY: SoakRun.origin_away,
-    Kind.ORIGIN_GARBLE: SoakRun.origin_garble,
-    Kind.STAGED_ROT: SoakRun.staged_rot,
-    Kind.CONFIG: partial(SoakRun.operate, act=Operator.change),
-    Kind.CONFIG_RACE: partial(SoakRun.operate, act=Operator.race),
-    Kind.CONFIG_BAD: partial(SoakRun.operate, act=Operator.send_bad),
-    Kind.WEIGHTS: partial(SoakRun.operate, act=Operator.name_weights),
+FAULT_ACTIONS = {
+    FaultKind.KILL: SoakRun.kill,
+    FaultKind.TERM: SoakRun.term,
+    FaultKind.FREEZE: SoakRun.freeze,
+    FaultKind.KILL_CONTROLS: lambda run, fault: run.kill(fault, run.shape.controls),
+    FaultKind.KILL_ALL: lambda run, fault: run.kill(fault, run.shape.nodes),
+    FaultKind.WIPE: SoakRun.wipe,
+    FaultKind.TORN_WRITE: SoakRun.tear_write,
+    FaultKind.HUP: SoakRun.reload_settings,
+    FaultKind.CUT: SoakRun.partition,
+    FaultKind.CUT_ONE_WAY: partial(SoakRun.partition, both_ways=False),
+    FaultKind.RESET: SoakRun.reset,
+    FaultKind.SILENCE: SoakRun.silence,
+    FaultKind.SLOW: SoakRun.throttle,
+    FaultKind.ENGINE_CRASH: SoakRun.engine_crash,
+    FaultKind.ENGINE_UNRESPONSIVE: SoakRun.engine_unresponsive,
+    FaultKind.ENGINE_RELEASE: SoakRun.engine_release,
+    FaultKind.TARGET_GREY: SoakRun.target_grey,
+    FaultKind.TARGET_COOLDOWN: SoakRun.target_cooldown,
+    FaultKind.ORIGIN_UNREACHABLE: SoakRun.origin_unreachable,
+    FaultKind.ORIGIN_CORRUPTION: SoakRun.origin_corruption,
+    FaultKind.STAGED_CORRUPTION: SoakRun.staged_corruption,
+    FaultKind.CONFIG: partial(SoakRun.operate, action=Operator.send_next),
+    FaultKind.CONFIG_RACE: partial(SoakRun.operate, action=Operator.send_conflicting),
+    FaultKind.CONFIG_INVALID: partial(SoakRun.operate, action=Operator.send_invalid),
+    FaultKind.WEIGHTS: partial(SoakRun.operate, action=Operator.set_desired_version),
 }
--- a/soak/seeds.py
+++ b/soak/seeds.py
@@ -1,4 +1,4 @@
-"""Plays one seed in a folder of its own."""
+"""Run one seed in its own folder."""
 
 import asyncio
 import logging
@@ -6,29 +6,29 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from soak.plan import Shape
+from soak.plan import FleetShape
 from soak.run import Outcome, SoakRun
 
-FOLDER = Path(__file__).resolve().parent.parent / ".soak"
+RUNS_FOLDER = Path(__file__).resolve().parent.parent / ".soak"
 
 
 class SeedOptions(NamedTuple):
-    """How a seed is played: seconds of faults, size of the fleet, what is kept."""
+    """Options of a run: seconds of faults, fleet size, whether its folder is kept."""
 
     seconds: float = 30.0
     entries: int = 2
     engines: int = 3
     timed: bool = True
-    keep: bool = False
+    keep_folder: bool = False
 
     @property
-    def shape(self) -> Shape:
-        """Names of the fleet's processes."""
-        return Shape.of_size(self.entries, self.engines)
+    def shape(self) -> FleetShape:
+        """Names of the fleet's processes and targets."""
+        return FleetShape.of_size(self.entries, self.engines)
 
 
-def play(seed: int, options: SeedOptions, parent: Path = FOLDER) -> Outcome:
-    """Play one seed; its folder stays if something was found, or if told so."""
+def run_seed(seed: int, options: SeedOptions, parent: Path = RUNS_FOLDER) -> Outcome:
+    """Run one seed; keep its folder if there are findings or `keep_folder` is set."""
     folder = parent / str(seed)
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
@@ -40,7 +40,7 @@
     )
     logging.getLogger("asyncio").setLevel(logging.WARNING)
     run = SoakRun(folder, seed, options.seconds, options.shape, options.timed)
-    outcome = asyncio.run(run.play())
-    if not outcome.findings and not options.keep:
+    outcome = asyncio.run(run.run())
+    if not outcome.findings and not options.keep_folder:
         shutil.rmtree(folder)
     return outcome
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -1,4 +1,4 @@
-"""Stand-ins of targets that tell the judge what they run."""
+"""Fake targets that report to the invariant checker what they run."""
 
 import asyncio
 import logging
@@ -9,41 +9,43 @@
 from aiohttp import web
 from tests.fakes.platform import Engine, Listener, Origin
 
-from soak.promises import Judge, Run
+from soak.invariants import Execution, InvariantChecker
 from wisteriapulley.platform import names
 
 log = logging.getLogger(__name__)
 
-BEAT_S = 0.4
-BEAT_ANSWER_S = 1.0
-# A leaving target goes on for so long after its word was acknowledged.
-LINGER_S = 3.5
-EVENTS = 12
-EVENT_S = 0.03
-WORK_S = 0.03
+HEARTBEAT_INTERVAL_S = 0.4
+HEARTBEAT_TIMEOUT_S = 1.0
+# A leaving target serves this long after its announcement was acknowledged.
+LEAVE_DELAY_S = 3.5
+EVENTS_PER_STREAM = 12
+EVENT_INTERVAL_S = 0.03
+SERVICE_TIME_S = 0.03
 PLAIN_SLOTS = 6
 ENGINE_SLOTS = 8
 
 
-def event(request_id: str, number: int) -> bytes:
-    """Make one event of the only right answer to a streaming request."""
+def make_event(request_id: str, number: int) -> bytes:
+    """Return one event of the only correct response to a streaming request."""
     return b"id: %d\ndata: %s/%d\n\n" % (number, request_id.encode(), number)
 
 
-def stream_of(request_id: str) -> bytes:
-    """Make the whole answer to a streaming request."""
-    return b"".join(event(request_id, n) for n in range(1, EVENTS + 1))
+def expected_stream(request_id: str) -> bytes:
+    """Return the complete response body of a streaming request."""
+    return b"".join(make_event(request_id, n) for n in range(1, EVENTS_PER_STREAM + 1))
 
 
-def plain_answer(request_id: str) -> bytes:
-    """Make the whole answer of a plain target."""
+def expected_plain_body(request_id: str) -> bytes:
+    """Return the complete response body of a plain target."""
     return f"answer to {request_id}\n".encode() * 40
 
 
-def run_of(request: web.Request, body: bytes, target_id: str, version: int) -> Run:
-    """Note what a target is asked to run."""
+def execution_of(
+    request: web.Request, body: bytes, target_id: str, version: int
+) -> Execution:
+    """Return the record of a request that a target starts to run."""
     headers = request.headers
-    return Run(
+    return Execution(
         headers.get(names.REQUEST_ID, ""),
         target_id,
         request.method,
@@ -56,57 +58,59 @@
     )
 
 
-def met(target, request: web.Request) -> web.Response | None:
-    """Tell the judge of a request that is meant for a target; turn it away at rest.
+def observe_arrival(target, request: web.Request) -> web.Response | None:
+    """Record a request that is meant for a target; reject it during a cool-down.
 
     Parameters
     ----------
-    target : SoakEngine or SoakPlain
+    target : SoakEngine or SoakPlainTarget
         The target.
     request : web.Request
-        A request that names this start of it.
+        A request that names the target's current incarnation.
     """
     now_s = time.monotonic()
     request_id = request.headers.get(names.REQUEST_ID, "")
-    target.judge.note_arrival(request_id, target.target_id, now_s)
+    target.checker.record_arrival(request_id, target.target_id, now_s)
     if target.leaving:
-        target.judge.note_told(request_id, target.target_id, now_s)
-    if not target.rest_s:
+        target.checker.record_signal(request_id, target.target_id, now_s)
+    if not target.cooldown_s:
         return None
-    target.judge.note_told(request_id, target.target_id, now_s, target.rest_s)
-    said = {
+    target.checker.record_signal(request_id, target.target_id, now_s, target.cooldown_s)
+    headers = {
         names.NOT_RUN: "rest",
-        names.RETRY_AFTER: str(target.rest_s),
-        **stated(target),
+        names.RETRY_AFTER: str(target.cooldown_s),
+        **signal_headers(target),
     }
-    return web.Response(status=names.UNAVAILABLE_STATUS, headers=said)
+    return web.Response(status=names.UNAVAILABLE_STATUS, headers=headers)
 
 
-def stated(target) -> dict[str, str]:
-    """Return what a target says of itself with every answer."""
+def signal_headers(target) -> dict[str, str]:
+    """Return the headers with which every response reports a target's state."""
     return {names.LEAVING: names.LEAVING_VALUE} if target.leaving else {}
 
 
 class SoakEngine(Engine):
-    """An engine that runs few requests at once, crashes and comes back."""
+    """Engine with few slots that can crash and restart."""
 
-    def __init__(self, origin: Origin, judge: Judge, name: str):
-        super().__init__(origin, target_id=f"{name}-i1", version=1, event_s=EVENT_S)
-        self.judge = judge
+    def __init__(self, origin: Origin, checker: InvariantChecker, name: str):
+        super().__init__(
+            origin, target_id=f"{name}-i1", version=1, event_s=EVENT_INTERVAL_S
+        )
+        self.checker = checker
         self.name = name
         self.incarnation = 1
         self.running: dict[int, web.Request] = {}
-        self.rest_s = 0.0
+        self.cooldown_s = 0.0
         for position in range(origin.chunks):
             self.staged[position] = origin.bytes_of(1, position)
 
     @property
     def service(self) -> str:
-        """What it serves."""
+        """Name of the service that it serves."""
         return "model-service"
 
     def crash(self) -> None:
-        """Cut all streams, and come back as a new incarnation without weights."""
+        """Abort all streams, and restart as a new incarnation without weights."""
         for request in tuple(self.running.values()):
             if request.transport is not None:
                 request.transport.abort()
@@ -116,26 +120,28 @@
         self.leaving = False
 
     def refusal(self, request: web.Request) -> web.Response | None:
-        """Refuse beyond the slots as not run."""
+        """Reject a request as not executed without a free slot or on other grounds."""
         if len(self.running) >= ENGINE_SLOTS:
             return web.Response(status=503, headers={names.NOT_RUN: "full"})
         refused = super().refusal(request)
         if refused is not None:
             return refused
-        return met(self, request)
+        return observe_arrival(self, request)
 
     def loaded(self, version: int) -> None:
-        """Hold a version, unless a crash forgot the order."""
+        """Switch to a version unless a crash dropped the order."""
         if self.busy:
             super().loaded(version)
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
-        """Run a request, and tell the judge."""
+        """Run a request and record its execution."""
         body = await request.read()
         refused = self.refusal(request)
         if refused is not None:
             return refused
-        self.judge.note_run(run_of(request, body, self.target_id, self.version))
+        self.checker.record_execution(
+            execution_of(request, body, self.target_id, self.version)
+        )
         self.running[id(request)] = request
         try:
             return await self.answer(request)
@@ -143,53 +149,53 @@
             self.running.pop(id(request), None)
 
     async def answer(self, request: web.Request) -> web.StreamResponse:
-        """Send the events behind the last one that the caller holds."""
+        """Send the events after the last one that the caller already has."""
         request_id = request.headers[names.REQUEST_ID]
         headers = {
             names.REQUEST_ID: request_id,
             "X-Server-Stamp": f"stamp.{self.target_id}",
             "Content-Type": "text/event-stream",
-            **stated(self),
+            **signal_headers(self),
         }
         response = web.StreamResponse(headers=headers)
         response.enable_chunked_encoding()
         await response.prepare(request)
         first = int(request.headers.get(names.LAST_EVENT, 0)) + 1
-        for number in range(first, EVENTS + 1):
+        for number in range(first, EVENTS_PER_STREAM + 1):
             await asyncio.sleep(self.event_s)
-            await response.write(event(request_id, number))
+            await response.write(make_event(request_id, number))
         await response.write_eof()
         return response
 
 
-class SoakPlain(Listener):
-    """A plain target; a grey one fails half of its requests."""
+class SoakPlainTarget(Listener):
+    """Plain target; fails half of its requests while `grey` is set."""
 
     service = "plain-service"
     version = 0
 
-    def __init__(self, judge: Judge, name: str):
+    def __init__(self, checker: InvariantChecker, name: str):
         super().__init__()
-        self.judge = judge
+        self.checker = checker
         self.target_id = f"{name}-i1"
         self.grey = False
         self.leaving = False
-        self.rest_s = 0.0
+        self.cooldown_s = 0.0
         self.served = 0
         self.running = 0
         self.app.add_routes([web.route("*", "/{tail:.*}", self.serve)])
 
     async def serve(self, request: web.Request) -> web.Response:
-        """Run a request, and tell the judge."""
+        """Run a request and record its execution."""
         body = await request.read()
         if request.headers.get(names.EXPECTED_TARGET) != self.target_id:
             return web.Response(status=421, headers={names.NOT_RUN: "other"})
-        away = met(self, request)
-        if away is not None:
-            return away
+        rejection = observe_arrival(self, request)
+        if rejection is not None:
+            return rejection
         if self.running >= PLAIN_SLOTS:
             return web.Response(status=503, headers={names.NOT_RUN: "full"})
-        self.judge.note_run(run_of(request, body, self.target_id, 0))
+        self.checker.record_execution(execution_of(request, body, self.target_id, 0))
         self.running += 1
         try:
             return await self.answer(request)
@@ -197,66 +203,66 @@
             self.running -= 1
 
     async def answer(self, request: web.Request) -> web.Response:
-        """Work for a moment, then answer."""
+        """Respond after the service time."""
         request_id = request.headers[names.REQUEST_ID]
-        await asyncio.sleep(WORK_S)
+        await asyncio.sleep(SERVICE_TIME_S)
         self.served += 1
         headers = {names.REQUEST_ID: request_id, "X-Server-Stamp": self.target_id}
         if self.grey and self.served % 2:
             return web.Response(status=500, headers=headers)
-        return web.Response(body=plain_answer(request_id), headers=headers)
+        return web.Response(body=expected_plain_body(request_id), headers=headers)
 
 
-class Announcer:
-    """Sends a target's heartbeats to any control instance that answers.
+class HeartbeatSender:
+    """Sends a target's heartbeats to any control instance that responds.
 
     Parameters
     ----------
-    target : SoakEngine or SoakPlain
+    target : SoakEngine or SoakPlainTarget
         The target.
     address : str
-        Where others reach it.
-    domain : str
-        Its failure domain.
+        Address at which others reach the target.
+    failure_domain : str
+        Failure domain of the target.
     controls : callable
         Returns the addresses of control instances, in any order.
     """
 
-    def __init__(self, target, address: str, domain: str, controls: Callable):
+    def __init__(self, target, address: str, failure_domain: str, controls: Callable):
         self.target = target
         self.address = address
-        self.domain = domain
+        self.failure_domain = failure_domain
         self.controls = controls
         self.sequence = 0
         self.session: aiohttp.ClientSession | None = None
         self.task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to announce."""
-        timeout = aiohttp.ClientTimeout(total=BEAT_ANSWER_S)
+        """Start sending heartbeats."""
+        timeout = aiohttp.ClientTimeout(total=HEARTBEAT_TIMEOUT_S)
         self.session = aiohttp.ClientSession(timeout=timeout)
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     async def stop(self) -> None:
-        """Stop announcing."""
+        """Stop sending heartbeats."""
         self.task.cancel()
         await self.session.close()
 
     async def run(self) -> None:
-        """Announce for ever."""
+        """Send heartbeats until cancelled."""
         while True:
             await self.announce()
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def announce(self) -> bool:
-        """Send one heartbeat; tell whether it was acknowledged."""
+        """Send one heartbeat; return whether it was acknowledged."""
         target = self.target
         self.sequence += 1
         models = [{"name": "model", "version": target.version, "adapters": []}]
         body = {
             "service": target.service,
             "address": self.address,
-            "zone": self.domain,
+            "zone": self.failure_domain,
             "version": "v1",
             "slots": ENGINE_SLOTS if target.version else PLAIN_SLOTS,
             "state": "draining" if target.leaving else "ready",
@@ -277,12 +283,12 @@
                 log.debug("heartbeat of %s: %r", target.target_id, error)
         return False
 
-    async def release(self, judge: Judge) -> None:
-        """Leave as planned, then come back as a new incarnation."""
+    async def leave_and_restart(self, checker: InvariantChecker) -> None:
+        """Announce that the target leaves, then restart it as a new incarnation."""
         target, target_id = self.target, self.target.target_id
         target.leaving = True
         if await self.announce():
-            judge.left_s[target_id] = time.monotonic()
-        await asyncio.sleep(LINGER_S)
+            checker.leaving_since_s[target_id] = time.monotonic()
+        await asyncio.sleep(LEAVE_DELAY_S)
         if target.target_id == target_id:
             target.crash()
