--- a/bench/turned_away.py
+++ b/bench/turned_away.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 from typing import NamedTuple
 
-from tests.fakes.links import WrittenLink
+from tests.fakes.links import RecordingLink
 
 from wisteriapulley.direct.crashes import CrashTracker
 from wisteriapulley.direct.dispatch import Dispatcher
@@ -222,7 +222,7 @@
         return answer
 
 
-class SidecarLink(WrittenLink):
+class SidecarLink(RecordingLink):
     """An entry's link to a sidecar in the same process."""
 
     def __init__(self, name: str, granting: SlotAdmission):
--- a/soak/operators.py
+++ b/soak/operators.py
@@ -130,8 +130,8 @@
 
     def set_desired_version(self) -> None:
         """Make the next version of the weights the desired one."""
-        self.origin.newest += 1
-        self.spawn(self.put_desired_version(self.origin.newest))
+        self.origin.newest_version += 1
+        self.spawn(self.put_desired_version(self.origin.newest_version))
 
     async def put_configuration(
         self, version: int, text: bytes, valid: bool = True
--- a/soak/run.py
+++ b/soak/run.py
@@ -115,7 +115,7 @@
             self.background_tasks.append(self.start_prober(name, address))
         for caller in self.callers:
             caller.start()
-        await self.wait_until("the first answers", self.all_callers_served)
+        await self.wait_until("the first responses", self.all_callers_served)
 
     def start_prober(self, name: str, address: str) -> asyncio.Task:
         """Start probing which configuration is in force at an entry."""
@@ -297,12 +297,16 @@
     async def origin_corruption(self, fault: Fault) -> None:
         """Make the origin send corrupted pieces."""
         count = self.fleet.origin.chunks
-        self.fleet.origin.spoil |= {self.fleet.rng.randrange(count) for _ in range(3)}
+        self.fleet.origin.corrupt_positions |= {
+            self.fleet.rng.randrange(count) for _ in range(3)
+        }
 
     async def staged_corruption(self, fault: Fault) -> None:
         """Corrupt a piece when the engine stages it."""
         count = self.fleet.origin.chunks
-        self.fleet.engines[fault.name].rot |= {self.fleet.rng.randrange(count)}
+        self.fleet.engines[fault.name].corrupt_positions |= {
+            self.fleet.rng.randrange(count)
+        }
 
     # -- operators -------------------------------------------------------
 
@@ -326,9 +330,9 @@
                 for caller in self.callers
             )
 
-        await self.wait_until("answers for all callers", served_again)
-        bad = sum(engine.bad_loads for engine in self.fleet.engines.values())
-        self.checker.check("whole weights", not bad, f"{bad} loads of other pieces")
+        await self.wait_until("responses for all callers", served_again)
+        bad = sum(engine.corrupted_loads for engine in self.fleet.engines.values())
+        self.checker.check("whole weights", not bad, f"{bad} loads of corrupted pieces")
 
     async def has_desired_weights(self) -> bool:
         """Return whether every engine holds the newest desired weights."""
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -102,7 +102,7 @@
         self.running: dict[int, web.Request] = {}
         self.cooldown_s = 0.0
         for position in range(origin.chunks):
-            self.staged[position] = origin.bytes_of(1, position)
+            self.staged[position] = origin.piece_bytes(1, position)
 
     @property
     def service(self) -> str:
@@ -119,26 +119,26 @@
         self.version, self.busy, self.sequence = 0, False, 0
         self.leaving = False
 
-    def refusal(self, request: web.Request) -> web.Response | None:
+    def rejection(self, request: web.Request) -> web.Response | None:
         """Reject a request as not executed without a free slot or on other grounds."""
         if len(self.running) >= ENGINE_SLOTS:
             return web.Response(status=503, headers={names.NOT_RUN: "full"})
-        refused = super().refusal(request)
-        if refused is not None:
-            return refused
+        rejection = super().rejection(request)
+        if rejection is not None:
+            return rejection
         return observe_arrival(self, request)
 
-    def loaded(self, version: int) -> None:
+    def finish_load(self, version: int) -> None:
         """Switch to a version unless a crash dropped the order."""
         if self.busy:
-            super().loaded(version)
+            super().finish_load(version)
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
         """Run a request and record its execution."""
         body = await request.read()
-        refused = self.refusal(request)
-        if refused is not None:
-            return refused
+        rejection = self.rejection(request)
+        if rejection is not None:
+            return rejection
         self.checker.record_execution(
             execution_of(request, body, self.target_id, self.version)
         )
--- a/tests/demo.py
+++ b/tests/demo.py
@@ -14,7 +14,7 @@
 
 import aiohttp
 
-from tests.fakes.caller import Callers, Workload, judge
+from tests.fakes.caller import Callers, Workload, summarize
 from tests.fleet import ROOT, Fleet
 
 FOLDER = ROOT / ".demo"
@@ -189,7 +189,7 @@
     await asyncio.sleep(3)
     callers.stopping = True
     await load
-    judgement = judge(callers.started, callers.outcomes, fleet.records("target-"))
+    judgement = summarize(callers.started, callers.outcomes, fleet.records("target-"))
     origin_bytes_sent = origin_bytes(fleet) - before
     return {
         "replicas": len(names),
--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what lies outside the system: engine, origin, store, caller."""
+"""Fakes of what is outside the system: engines, targets, origin, store, callers."""
--- a/tests/fakes/caller.py
+++ b/tests/fakes/caller.py
@@ -1,4 +1,4 @@
-"""Fake callers: a steady load of requests, each checked as it is answered."""
+"""Fake callers that send a steady load and check each response."""
 
 import asyncio
 import itertools
@@ -11,11 +11,11 @@
 import aiohttp
 
 EXPIRY_MS = 120_000
-RESENDS = 6
+MAX_SENDS = 6
 
 
 class Outcome(NamedTuple):
-    """What one caller got."""
+    """Outcome of a caller's request."""
 
     name: str
     account: str
@@ -24,13 +24,13 @@
     code: int
     not_run: bool
     own_answer: bool
-    whole: bool
+    complete: bool
     version: str
     seconds: float
 
 
 class Workload(NamedTuple):
-    """One kind of request."""
+    """Kind of request."""
 
     entry: str
     path: str
@@ -41,18 +41,18 @@
 
 
 class Callers:
-    """Sends workloads at a steady rate to entries in turn.
+    """Sends workloads at a steady rate to randomly chosen entries.
 
     Parameters
     ----------
     entries : list of str
-        Base URLs.
+        Base URLs of the entries.
     workloads : list of Workload
-        Sent in turn.
+        Workloads, sent round-robin.
     rate : float
-        Requests a second.
+        Requests per second.
     seed : int
-        Of the choice of entries.
+        Seeds the choice of entries.
     """
 
     def __init__(
@@ -65,10 +65,10 @@
         self.outcomes: list[Outcome] = []
         self.started = 0
         self.stopping = False
-        self.names = itertools.count(1)
+        self.request_names = itertools.count(1)
 
     async def run(self) -> None:
-        """Send until `stopping`, then wait for the last answers."""
+        """Send until `stopping` is set, then wait for the outstanding responses."""
         tasks: set[asyncio.Task] = set()
         timeout = aiohttp.ClientTimeout(total=60)
         connector = aiohttp.TCPConnector(limit=0)
@@ -86,8 +86,8 @@
             await asyncio.gather(*tasks)
 
     async def send(self, session: aiohttp.ClientSession, workload: Workload) -> None:
-        """Send one request; resend a keyed one whose answer was lost."""
-        name = f"p{next(self.names)}"
+        """Send a request; resend it if it got no response or was rejected with 503."""
+        name = f"p{next(self.request_names)}"
         key = "" if workload.idempotent else f"key-{name}"
         headers = {"X-Client-Account": workload.account}
         if key:
@@ -96,7 +96,7 @@
             headers["Idempotency-Expires"] = str(expires_ms)
         started = time.monotonic()
         outcome = None
-        for _ in range(RESENDS):
+        for _ in range(MAX_SENDS):
             outcome = await self.send_once(session, workload, name, headers)
             if outcome.status and not (outcome.not_run and outcome.status == 503):
                 break
@@ -113,7 +113,7 @@
         name: str,
         headers: dict[str, str],
     ) -> Outcome:
-        """Send to one entry and check the answer."""
+        """Send to one entry and check the response."""
         url = self.rng.choice(self.entries) + workload.path
         body = {
             "model": workload.entry,
@@ -143,37 +143,37 @@
                 version,
                 0.0,
             )
-        own, whole = check_answer(workload, name, text)
+        own, complete = check_response(workload, name, text)
         return Outcome(
-            name, workload.account, "", 200, 0, False, own, whole, version, 0.0
+            name, workload.account, "", 200, 0, False, own, complete, version, 0.0
         )
 
 
 def read_error(text: str) -> dict:
-    """Read the error object of an answer; empty when it is not ours."""
+    """Return the error object of a response; empty if it has another format."""
     try:
         return json.loads(text).get("error", {})
     except (json.JSONDecodeError, AttributeError):
         return {}
 
 
-def check_answer(workload: Workload, name: str, text: str) -> tuple[bool, bool]:
-    """Tell whether an answer is the caller's own, and whole."""
+def check_response(workload: Workload, name: str, text: str) -> tuple[bool, bool]:
+    """Return whether a response belongs to the request, and whether it is complete."""
     if workload.path != "/v1/completions":
         return json.loads(json.loads(text)["echo"])["prompt"] == name, True
     if workload.stream:
         lines = [line[6:] for line in text.splitlines() if line.startswith("data: ")]
-        whole = bool(lines) and lines[-1] == "[DONE]"
+        complete = bool(lines) and lines[-1] == "[DONE]"
         events = [json.loads(line) for line in lines if line != "[DONE]"]
-        made = "".join(event["choices"][0]["text"] for event in events)
+        generated = "".join(event["choices"][0]["text"] for event in events)
     else:
-        made, whole = json.loads(text)["choices"][0]["text"], True
+        generated, complete = json.loads(text)["choices"][0]["text"], True
     expected = "".join(f"{name}:{i} " for i in range(workload.max_tokens))
-    return made.startswith(f"{name}:"), whole and made == expected
+    return generated.startswith(f"{name}:"), complete and generated == expected
 
 
-class Verdict(NamedTuple):
-    """Promises kept or broken, by the fakes' own records."""
+class Summary(NamedTuple):
+    """Counts of outcomes and violations, from the callers' and fakes' records."""
 
     requests: int
     answered: int
@@ -186,42 +186,42 @@
     false_not_run: int
 
 
-def judge(started: int, outcomes: list[Outcome], records: list[dict]) -> Verdict:
-    """Compare what callers got with what the targets ran.
+def summarize(started: int, outcomes: list[Outcome], records: list[dict]) -> Summary:
+    """Compare what callers received with what the targets executed.
 
-    ``lost`` counts keyed requests whose answer said success and that no target
-    ran, and requests that got no answer at all; ``failed`` got an explicit
-    error that is no refusal.
+    ``lost`` counts requests without a response, and requests that got a success
+    response which is truncated or which no target executed. ``failed`` counts explicit
+    errors that do not guarantee that the request was not executed.
     """
-    ran = [record for record in records if record["event"] == "ran"]
-    runs_by_key = Counter((r["account"], r["key"]) for r in ran if r["key"])
-    ran_prompts = {prompt_of(record) for record in ran}
-    answered = [o for o in outcomes if o.status == 200 and o.whole]
+    executed = [record for record in records if record["event"] == "ran"]
+    executions_by_key = Counter((r["account"], r["key"]) for r in executed if r["key"])
+    executed_prompts = {prompt_of(record) for record in executed}
+    answered = [o for o in outcomes if o.status == 200 and o.complete]
     refused = [o for o in outcomes if o.status != 200 and o.not_run]
     failed = [o for o in outcomes if o.status not in (0, 200) and not o.not_run]
     lost = started - len(outcomes) + sum(o.status == 0 for o in outcomes)
-    lost += sum(o.status == 200 and not o.whole for o in outcomes)
-    lost += sum(o.name not in ran_prompts for o in answered)
-    mixed = sum(r["version"] != r["version_at_end"] for r in ran)
+    lost += sum(o.status == 200 and not o.complete for o in outcomes)
+    lost += sum(o.name not in executed_prompts for o in answered)
+    mixed = sum(r["version"] != r["version_at_end"] for r in executed)
     mixed += sum(r["event"] == "load_while_running" for r in records)
     mixed += sum(
         r["event"] == "loaded" and r["version"] != r["ordered"] for r in records
     )
-    return Verdict(
+    return Summary(
         started,
         len(answered),
         len(refused),
         len(failed),
         lost,
-        sum(count > 1 for count in runs_by_key.values()),
+        sum(count > 1 for count in executions_by_key.values()),
         mixed,
         sum(not o.own_answer for o in outcomes),
-        sum(o.key != "" and o.name in ran_prompts for o in refused),
+        sum(o.key != "" and o.name in executed_prompts for o in refused),
     )
 
 
 def prompt_of(record: dict) -> str:
-    """Return the caller's request name from an engine's or service's record."""
+    """Return the name of a caller's request from a record of an engine or service."""
     prompt = record["prompt"]
     if prompt.startswith("{"):
         return json.loads(prompt).get("prompt", "")
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -1,8 +1,8 @@
 """Fake model engine and fake plain service.
 
-The engine loads weights on order by reading them from its sidecar, recomputes
-the manifest's digest from the bytes it was given, and writes to its records
-what each answer was made from. It never trusts the version it was told.
+The engine loads weights by reading them from its sidecar, and computes the
+manifest's digest from the bytes that it received. It records from which digest each
+response was generated, and never relies on the version in the order.
 """
 
 import argparse
@@ -22,46 +22,47 @@
 
 
 class FakeEngine:
-    """Model engine.
+    """Fake model engine.
 
     Parameters
     ----------
     name : str
-        Stands in its records.
+        Its name in the records.
     records : Records
-        What it ran.
-    fences : bool
-        Whether it refuses an old fencing number.
+        Receives an event for each request and load.
+    checks_fencing : bool
+        Whether it rejects orders with an outdated fencing number.
     slots : int
-        Requests that it runs at once; others wait.
+        Number of requests that it runs concurrently; others wait.
     token_s : float
-        Seconds a token.
+        Seconds per token.
     load_s : float
-        Seconds a load takes besides the reading.
-    lag_s : float
-        How old the load that it reports is.
+        Seconds for a load, in addition to reading the weights.
+    report_lag_s : float
+        Interval at which the reported load is refreshed.
     load_fault : str
-        What goes wrong in a load: ``refuse`` keeps what it serves, ``crash``
-        loses it, ``damage`` reads one byte wrong, ``silent`` never answers.
+        Fault of each load: ``refuse`` rejects it and keeps serving the present
+        version, ``crash`` loses that version, ``damage`` reads one wrong byte per
+        chunk, ``silent`` loads but never responds.
     """
 
     def __init__(
         self,
         name: str,
         records: Records,
-        fences: bool = True,
+        checks_fencing: bool = True,
         slots: int = 8,
         token_s: float = 0.002,
         load_s: float = 0.05,
-        lag_s: float = 0.2,
+        report_lag_s: float = 0.2,
         load_fault: str = "",
     ):
         self.name = name
         self.records = records
-        self.fences = fences
+        self.checks_fencing = checks_fencing
         self.token_s = token_s
         self.load_s = load_s
-        self.lag_s = lag_s
+        self.report_lag_s = report_lag_s
         self.load_fault = load_fault
         self.slots = asyncio.Semaphore(slots)
         self.version = ""
@@ -69,7 +70,7 @@
         self.fencing = 0
         self.running = 0
         self.waiting = 0
-        self.reported = (0.0, 0, 0)
+        self.reported_load = (0.0, 0, 0)
         self.tasks: dict[str, asyncio.Task] = {}
         self.app = web.Application(client_max_size=64 << 20)
         self.app.add_routes(
@@ -77,41 +78,43 @@
                 web.get("/control/state", self.show_state),
                 web.post("/control/load", self.load),
                 web.post("/control/cancel", self.cancel),
-                web.post("/fake/pace", self.set_pace),
+                web.post("/fake/pace", self.set_token_time),
                 web.post("/v1/completions", self.completions),
             ]
         )
 
     async def show_state(self, request: web.Request) -> web.Response:
-        """Report version and lagging load."""
+        """Return the state; running and waiting requests lag behind."""
         now = asyncio.get_running_loop().time()
-        if now - self.reported[0] >= self.lag_s:
-            self.reported = (now, self.running, self.waiting)
+        if now - self.reported_load[0] >= self.report_lag_s:
+            self.reported_load = (now, self.running, self.waiting)
         return web.json_response(
             {
                 "version": self.version,
                 "state": self.state,
                 "fencing": self.fencing,
-                "running": self.reported[1],
-                "waiting": self.reported[2],
+                "running": self.reported_load[1],
+                "waiting": self.reported_load[2],
             }
         )
 
     async def load(self, request: web.Request) -> web.Response:
-        """Load a version from the sidecar's URL."""
+        """Load the ordered version from the sidecar's URL."""
         order = await request.json()
-        if self.fences and order["fencing"] < self.fencing:
+        if self.checks_fencing and order["fencing"] < self.fencing:
             self.records.add("fenced", engine=self.name, fencing=order["fencing"])
             return web.Response(status=409, text=f"fencing is at {self.fencing}")
         self.fencing = max(self.fencing, order["fencing"])
         if self.running:
             self.records.add("load_while_running", engine=self.name)
         if self.load_fault == "refuse":
-            return web.Response(status=500, text="no memory for it")
+            return web.Response(
+                status=500, text="not enough memory to load the version"
+            )
         self.version, self.state = "", "loading"
         if self.load_fault == "crash":
             self.state = "empty"
-            return web.Response(status=500, text="crashed on load")
+            return web.Response(status=500, text="crashed during the load")
         try:
             digest = await self.read_weights(order["source_url"], order["version"])
         except (aiohttp.ClientError, OSError, ValueError) as error:
@@ -127,10 +130,10 @@
         return web.Response(text="loaded")
 
     async def read_weights(self, source_url: str, version: str) -> str:
-        """Read all bytes and return the digest of what was read."""
+        """Read all weights; return the manifest digest of the bytes that were read."""
         base = f"{source_url}/{version}"
         async with aiohttp.ClientSession() as session:
-            manifest = await read(session, f"{base}/manifest.json", {}, 200)
+            manifest = await read_body(session, f"{base}/manifest.json", {}, 200)
             tree = json.loads(manifest)
             for file in tree["files"]:
                 file["chunks"] = [
@@ -143,31 +146,31 @@
         return blake3(text.encode()).hexdigest()
 
     async def read_file(self, session, base: str, file: dict, chunk_bytes: int):
-        """Yield the digest of each chunk as read."""
+        """Yield the digest of each chunk as it was read."""
         url = f"{base}/files/{file['path']}"
         for start in range(0, file["size"], chunk_bytes):
             last = min(start + chunk_bytes, file["size"]) - 1
             headers = {"Range": f"bytes={start}-{last}"}
-            data = await read(session, url, headers, 206)
+            data = await read_body(session, url, headers, 206)
             if self.load_fault == "damage":
                 data = data[:-1] + bytes([data[-1] ^ 1])
             yield blake3(data).hexdigest()
 
     async def cancel(self, request: web.Request) -> web.Response:
-        """Take a request off."""
+        """Cancel a request."""
         body = await request.json()
         task = self.tasks.get(body["request_id"])
         if task is not None:
             task.cancel()
         return web.Response(text="ok")
 
-    async def set_pace(self, request: web.Request) -> web.Response:
-        """Change the seconds a token: a target turns slow or well."""
+    async def set_token_time(self, request: web.Request) -> web.Response:
+        """Set the seconds per token, to make a target slow or normal again."""
         self.token_s = (await request.json())["token_s"]
         return web.Response(text="ok")
 
     async def completions(self, request: web.Request) -> web.StreamResponse:
-        """Answer a completion; ``max_tokens`` tokens, streamed when asked."""
+        """Run a completion of ``max_tokens`` tokens, streamed if requested."""
         body = await request.json()
         request_id = request.headers["X-Request-Id"]
         self.tasks[request_id] = asyncio.current_task()
@@ -200,10 +203,10 @@
     async def generate(
         self, request: web.Request, body: dict, version: str
     ) -> web.StreamResponse:
-        """Make the tokens: they name the prompt, so a crossed answer shows."""
+        """Generate tokens that contain the prompt, to detect responses mixed up."""
         if not version:
             self.records.add("no_weights", engine=self.name)
-            return web.Response(status=503, text="no weights")
+            return web.Response(status=503, text="no weights loaded")
         tokens = [f"{body['prompt']}:{i} " for i in range(body.get("max_tokens", 4))]
         headers = {"X-Model-Version": version}
         if not body.get("stream"):
@@ -223,23 +226,23 @@
 
 
 class FakePlainService:
-    """Plain service: runs what it is sent and says so in its records."""
+    """Fake plain service that records each request it runs."""
 
-    def __init__(self, name: str, records: Records, work_s: float = 0.005):
+    def __init__(self, name: str, records: Records, service_time_s: float = 0.005):
         self.name = name
         self.records = records
-        self.work_s = work_s
+        self.service_time_s = service_time_s
         self.app = web.Application(client_max_size=64 << 20)
         self.app.add_routes(
             [web.get("/health", self.health), web.route("*", "/{rest:.*}", self.run)]
         )
 
     async def health(self, request: web.Request) -> web.Response:
-        """Answer that it is there."""
+        """Respond that the service is up."""
         return web.Response(text="ok")
 
     async def run(self, request: web.Request) -> web.Response:
-        """Run one call."""
+        """Run and record a request."""
         body = (await request.read()).decode(errors="replace")
         self.records.add(
             "ran",
@@ -252,21 +255,21 @@
             version_at_end="",
             started_at=time.time(),
         )
-        await asyncio.sleep(self.work_s)
+        await asyncio.sleep(self.service_time_s)
         return web.json_response({"path": request.path, "echo": body})
 
 
-async def read(session, url: str, headers: dict, status: int) -> bytes:
-    """Read a body, or fail."""
+async def read_body(session, url: str, headers: dict, status: int) -> bytes:
+    """Return the body of a GET; raise ValueError on an unexpected status."""
     async with session.get(url, headers=headers) as response:
         body = await response.read()
         if response.status != status:
-            raise ValueError(f"{url}: {response.status}")
+            raise ValueError(f"GET {url}: unexpected status {response.status}")
         return body
 
 
 async def main() -> None:
-    """Run as a process."""
+    """Run as a process with command-line options."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--name", required=True)
--- a/tests/fakes/links.py
+++ b/tests/fakes/links.py
@@ -1,4 +1,4 @@
-"""Links without a connection."""
+"""Fake links without a connection."""
 
 import asyncio
 
@@ -6,22 +6,22 @@
 from wisteriapulley.wire.handshake import Hello
 
 
-class WrittenLink:
-    """A follower's link; keeps the messages that were written.
+class RecordingLink:
+    """Link of a follower that records the messages written to it.
 
     Parameters
     ----------
     role : str
-        Of the follower.
+        Role of the follower.
     lossy : random.Random, optional
-        Drops three frames of ten.
+        Generator that drops three of ten frames.
     """
 
     def __init__(self, role="entry", lossy=None):
         self.peer = Hello(1, f"{role}-x", role, 1, "z", b"")
         self.closed = asyncio.Event()
         self.lossy = lossy
-        self.taken = []
+        self.written = []
 
     def write_buffer_bytes(self):
         return 0
@@ -31,7 +31,7 @@
 
     def write(self, data):
         if self.lossy is None or self.lossy.random() >= 0.3:
-            self.taken.append(codec.decode(data[codec.HEADER.size :]).message)
+            self.written.append(codec.decode(data[codec.HEADER.size :]).message)
 
     def post(self, message):
-        self.taken.append(message)
+        self.written.append(message)
--- a/tests/fakes/origin.py
+++ b/tests/fakes/origin.py
@@ -1,8 +1,8 @@
 """Fake origin of weights, and fake rate-limited weight store.
 
 Serves ``/<version>/manifest.json`` and ``/<version>/files/<path>`` by range
-from a folder with one subfolder a version. The store answers 429 with
-Retry-After beyond its request rate.
+from a folder with one subfolder per version. Above its request rate, the store
+responds 429 with Retry-After.
 """
 
 import argparse
@@ -12,25 +12,25 @@
 
 from aiohttp import web
 
-from tests.fakes.rate import PIECE_BYTES, RateLimit
+from tests.fakes.rate import PIECE_BYTES, LinkLimit
 from tests.fakes.records import Records
 
 
 class FakeOrigin:
-    """Origin or store.
+    """Origin, or store if it limits the request rate.
 
     Parameters
     ----------
     folder : str
-        ``<version>/manifest.json`` and ``<version>/files/...``.
+        Holds ``<version>/manifest.json`` and ``<version>/files/...``.
     records : Records
-        Gets an event for each answer.
+        Receives an event for each response.
     bytes_per_s : float
-        Rate of its link; 0 for no limit.
+        Bandwidth of its link; 0 for no limit.
     requests_per_s : float
-        Beyond it 429; 0 for no limit.
+        Rate above which it responds 429; 0 for no limit.
     corrupt_every : int
-        Flip a byte in every so-manieth file answer; 0 for never.
+        Number n such that a byte is flipped in every n-th file response; 0 for none.
     """
 
     def __init__(
@@ -43,12 +43,12 @@
     ):
         self.folder = Path(folder)
         self.records = records
-        self.link = RateLimit(bytes_per_s)
+        self.link = LinkLimit(bytes_per_s)
         self.requests_per_s = requests_per_s
         self.corrupt_every = corrupt_every
-        self.count = 0
-        self.allowance = max(1.0, requests_per_s)
-        self.counted_at = 0.0
+        self.file_responses = 0
+        self.tokens = max(1.0, requests_per_s)
+        self.refilled_at = 0.0
         self.app = web.Application()
         self.app.add_routes(
             [
@@ -57,17 +57,17 @@
             ]
         )
 
-    def refuse(self) -> bool:
-        """Tell whether the request rate is exceeded."""
+    def is_rate_exceeded(self) -> bool:
+        """Take a token from the bucket; return whether none was left."""
         if not self.requests_per_s:
             return False
         now = asyncio.get_running_loop().time()
-        gained = (now - self.counted_at) * self.requests_per_s
-        self.allowance = min(max(1.0, self.requests_per_s), self.allowance + gained)
-        self.counted_at = now
-        if self.allowance < 1:
+        gained = (now - self.refilled_at) * self.requests_per_s
+        self.tokens = min(max(1.0, self.requests_per_s), self.tokens + gained)
+        self.refilled_at = now
+        if self.tokens < 1:
             return True
-        self.allowance -= 1
+        self.tokens -= 1
         return False
 
     async def manifest(self, request: web.Request) -> web.StreamResponse:
@@ -75,11 +75,11 @@
         path = self.folder / request.match_info["version"] / "manifest.json"
         if not path.exists():
             return web.Response(status=404)
-        return await self.send(request, path.read_bytes(), 200, {})
+        return await self.send_body(request, path.read_bytes(), 200, {})
 
     async def file(self, request: web.Request) -> web.StreamResponse:
         """Serve a range of a file."""
-        if self.refuse():
+        if self.is_rate_exceeded():
             return web.Response(status=429, headers={"Retry-After": "1"})
         version = request.match_info["version"]
         path = self.folder / version / "files" / request.match_info["path"]
@@ -89,16 +89,16 @@
         data = path.read_bytes()
         start, end = span.start or 0, min(span.stop or len(data), len(data))
         body = bytearray(data[start:end])
-        self.count += 1
-        if self.corrupt_every and self.count % self.corrupt_every == 0:
+        self.file_responses += 1
+        if self.corrupt_every and self.file_responses % self.corrupt_every == 0:
             body[len(body) // 2] ^= 0xFF
         headers = {"Content-Range": f"bytes {start}-{end - 1}/{len(data)}"}
-        return await self.send(request, bytes(body), 206, headers)
+        return await self.send_body(request, bytes(body), 206, headers)
 
-    async def send(
+    async def send_body(
         self, request: web.Request, body: bytes, status: int, headers: dict
     ) -> web.StreamResponse:
-        """Send a body no faster than the link."""
+        """Send a body within the bandwidth of the link."""
         response = web.StreamResponse(status=status, headers=headers)
         response.content_length = len(body)
         await response.prepare(request)
@@ -106,7 +106,7 @@
         try:
             for start in range(0, len(body), PIECE_BYTES):
                 piece = body[start : start + PIECE_BYTES]
-                await self.link.take(len(piece))
+                await self.link.transmit(len(piece))
                 await response.write(piece)
                 sent += len(piece)
         finally:
@@ -115,7 +115,7 @@
 
 
 async def serve(app: web.Application, port: int) -> web.AppRunner:
-    """Listen on loopback."""
+    """Serve an application on a loopback port."""
     runner = web.AppRunner(app, access_log=None, handler_cancellation=True)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", port).start()
@@ -123,7 +123,7 @@
 
 
 async def main() -> None:
-    """Run as a process."""
+    """Run as a process with command-line options."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--folder", required=True)
--- a/tests/fakes/plain.py
+++ b/tests/fakes/plain.py
@@ -1,43 +1,43 @@
-"""A plain target that some bodies crash, as the platform's targets speak."""
+"""Fake plain target with the platform's HTTP interface, crashed by some bodies."""
 
 import asyncio
 
 from aiohttp import web
 
-from tests.fakes.platform import Stating
+from tests.fakes.platform import SignallingTarget
 
 
-class PlainTarget(Stating):
-    """Answers at once, or crashes.
+class PlainTarget(SignallingTarget):
+    """Responds after its service time, or crashes.
 
     Parameters
     ----------
     number : int
-        Names it and its successors at the address.
-    crashed_by : set of bytes
-        Bodies that end the process when it begins to run them.
+        Part of the target id of all its incarnations.
+    crash_bodies : set of bytes
+        Bodies that crash the target when it starts to run them.
 
     Attributes
     ----------
     runs : list of bytes
-        Bodies that it began to run, in order.
-    work_s : float
-        How long an answer takes.
+        Bodies that it started to run, in order.
+    service_time_s : float
+        Time to run a request.
     """
 
-    def __init__(self, number, crashed_by=frozenset()):
+    def __init__(self, number, crash_bodies=frozenset()):
         super().__init__()
         self.number = number
-        self.crashed_by = crashed_by
-        self.start_number = 0
+        self.crash_bodies = crash_bodies
+        self.incarnation_number = 0
         self.runs = []
-        self.work_s = 0.0
+        self.service_time_s = 0.0
         self.open_transports = set()
         self.app.add_routes([web.route("*", "/{tail:.*}", self.serve)])
 
     @property
     def target_id(self):
-        return f"i-{self.number}-{self.start_number}"
+        return f"i-{self.number}-{self.incarnation_number}"
 
     @property
     def is_up(self):
@@ -53,31 +53,31 @@
 
     async def answer(self, request):
         body = await request.read()
-        away = self.arrived(request)
-        if away is not None:
-            return away
+        rejection = self.record_arrival(request)
+        if rejection is not None:
+            return rejection
         self.runs.append(body)
-        if body in self.crashed_by:
+        if body in self.crash_bodies:
             await self.crash()
             raise asyncio.CancelledError
-        await asyncio.sleep(self.work_s)
+        await asyncio.sleep(self.service_time_s)
         headers = {
             "X-Request-Attempt-Id": request.headers["X-Request-Attempt-Id"],
             "X-Server-Stamp": f"stamp.{self.target_id}",
-            **self.stated(),
+            **self.signal_headers(),
         }
         return web.Response(body=b"answer to " + body, headers=headers)
 
     async def crash(self):
-        """Close everything at once, as the end of a process does."""
+        """Close the listener and all connections at once, as a process exit does."""
         for site in tuple(self.runner.sites):
             site._server.close()
             self.runner._unreg_site(site)
         for transport in tuple(self.open_transports):
             transport.abort()
 
-    async def start_again(self):
-        """Listen at the same address, as another incarnation."""
-        self.start_number += 1
+    async def restart(self):
+        """Listen at the same address as a new incarnation."""
+        self.incarnation_number += 1
         host, _, port = self.address.rpartition(":")
         await web.TCPSite(self.runner, host, int(port)).start()
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform, written from its pages: targets, engine, origin."""
+"""Fakes of the platform, written from its documentation: targets, engine, origin."""
 
 import asyncio
 import hashlib
@@ -27,62 +27,62 @@
         await self.runner.cleanup()
 
 
-class Stating(Listener):
-    """A target whose answers state something of itself.
+class SignallingTarget(Listener):
+    """Target whose responses carry signals: advertised rate, cool-down, leaving.
 
     Attributes
     ----------
-    rate : str
-        Requests a second that its answers name; empty for none.
-    rest : str
-        It turns all requests away and asks for so much rest; None while it does not.
-        Empty where it turns away without asking for rest.
+    advertised_rate : str
+        Requests per second that its responses advertise; empty for none.
+    cooldown : str or None
+        If not None, it rejects all requests and requests a cool-down of this many
+        seconds; empty to reject without a requested cool-down.
     leaving : bool
-        Whether its answers say that it leaves.
+        Whether its responses report that it is leaving.
     arrivals : list of float
-        When requests came that were meant for it, on the loop's clock.
-    turned_away : int
-        How many it turned away.
+        Arrival times of requests that were meant for it, on the loop's clock.
+    rejected : int
+        Number of requests rejected because of `cooldown`.
     """
 
     def __init__(self):
         super().__init__()
-        self.rate = ""
-        self.rest = None
+        self.advertised_rate = ""
+        self.cooldown = None
         self.leaving = False
         self.arrivals = []
-        self.turned_away = 0
+        self.rejected = 0
 
-    def stated(self):
-        """Return the headers of what it states with any answer."""
+    def signal_headers(self):
+        """Return the headers with which every response reports its signals."""
         headers = {}
-        if self.rate:
-            headers["Server-Limit"] = self.rate
+        if self.advertised_rate:
+            headers["Server-Limit"] = self.advertised_rate
         if self.leaving:
             headers["Server-Leaving"] = "1"
         return headers
 
-    def arrived(self, request):
-        """Note a request; return the answer that turns it away, if it is."""
+    def record_arrival(self, request):
+        """Record the arrival of a request; return the rejection if it is rejected."""
         self.arrivals.append(asyncio.get_running_loop().time())
-        if self.rest is None:
+        if self.cooldown is None:
             return None
-        self.turned_away += 1
-        headers = {"X-Not-Executed": "1", **self.stated()}
-        if self.rest:
-            headers["Retry-After"] = self.rest
+        self.rejected += 1
+        headers = {"X-Not-Executed": "1", **self.signal_headers()}
+        if self.cooldown:
+            headers["Retry-After"] = self.cooldown
         return web.Response(status=503, headers=headers)
 
 
 class Origin(Listener):
-    """Hands out weights; `spoil` positions come wrong once each."""
+    """Serves weights; each of `corrupt_positions` is sent corrupted once."""
 
     def __init__(self, chunks=8, chunk_bytes=20000):
         super().__init__()
         self.chunks, self.chunk_bytes = chunks, chunk_bytes
-        self.newest = 1
-        self.spoil = set()
-        self.sent = 0
+        self.newest_version = 1
+        self.corrupt_positions = set()
+        self.pieces_sent = 0
         self.app.add_routes(
             [
                 web.get("/api/manifest/{model}", self.manifest),
@@ -90,14 +90,14 @@
             ]
         )
 
-    def bytes_of(self, version, position):
+    def piece_bytes(self, version, position):
         seed = hashlib.sha256(f"{version}/{position}".encode()).digest()
         return (seed * (self.chunk_bytes // len(seed) + 1))[: self.chunk_bytes]
 
     async def manifest(self, request):
-        version = int(request.query.get("version", self.newest))
+        version = int(request.query.get("version", self.newest_version))
         digests = [
-            hashlib.sha256(self.bytes_of(version, n)).hexdigest()
+            hashlib.sha256(self.piece_bytes(version, n)).hexdigest()
             for n in range(self.chunks)
         ]
         return web.json_response(
@@ -111,17 +111,20 @@
         )
 
     async def piece(self, request):
-        self.sent += 1
+        self.pieces_sent += 1
         position = int(request.query["quantity"])
-        data = self.bytes_of(int(request.query["version"]), position)
-        if position in self.spoil:
-            self.spoil.discard(position)
+        data = self.piece_bytes(int(request.query["version"]), position)
+        if position in self.corrupt_positions:
+            self.corrupt_positions.discard(position)
             data = b"spoilt" + data[6:]
         return web.Response(body=data)
 
 
-class Engine(Stating):
-    """A model engine: a staging place, orders, and streams of events."""
+class Engine(SignallingTarget):
+    """Model engine: staging area, orders and event streams.
+
+    Each of `corrupt_positions` is corrupted once when it is staged.
+    """
 
     def __init__(self, origin, target_id="i-1", version=1, event_s=0.005):
         super().__init__()
@@ -130,31 +133,33 @@
         self.version = version
         self.event_s = event_s
         self.staged = {}
-        self.rot = set()
+        self.corrupt_positions = set()
         self.busy = False
         self.sequence = 0
         self.runs = []
-        self.bad_loads = 0
-        self.break_after = 0
-        # Unix milliseconds of its start.
-        self.born = 1
-        # Rest that it asks its sidecar for in place of a report; empty for none.
-        self.report_rest = ""
+        self.corrupted_loads = 0
+        self.break_stream_after = 0
+        # Start of the process in Unix milliseconds.
+        self.started_ms = 1
+        # Cool-down in seconds requested instead of a report; empty for none.
+        self.report_cooldown = ""
         self.report_times = []
         self.app.add_routes(
             [
                 web.get("/api/report", self.report),
                 web.post("/api/order", self.order),
                 web.put("/api/stage-put/{model}", self.stage),
-                web.get("/api/stage-get/{model}", self.held),
+                web.get("/api/stage-get/{model}", self.get_staged),
                 web.route("*", "/{tail:.*}", self.serve),
             ]
         )
 
     async def report(self, request):
         self.report_times.append(asyncio.get_running_loop().time())
-        if self.report_rest:
-            return web.Response(status=503, headers={"Retry-After": self.report_rest})
+        if self.report_cooldown:
+            return web.Response(
+                status=503, headers={"Retry-After": self.report_cooldown}
+            )
         models = [{"name": "model", "version": self.version, "adapters": []}]
         return web.json_response(
             {
@@ -165,20 +170,20 @@
                 "sequence": self.sequence,
                 "waiting": 0,
                 "running": 0,
-                "born": self.born,
+                "born": self.started_ms,
             },
-            headers=self.stated(),
+            headers=self.signal_headers(),
         )
 
     async def stage(self, request):
         position = int(request.query["quantity"])
         self.staged[position] = await request.read()
-        if position in self.rot:
-            self.rot.discard(position)
+        if position in self.corrupt_positions:
+            self.corrupt_positions.discard(position)
             self.staged[position] = b"rotten" + self.staged[position][6:]
         return web.Response()
 
-    async def held(self, request):
+    async def get_staged(self, request):
         if "quantity" not in request.query:
             return web.json_response({"held": sorted(self.staged)})
         data = self.staged.get(int(request.query["quantity"]))
@@ -191,17 +196,17 @@
             return web.Response(status=200)
         self.sequence += 1
         self.busy = True
-        wanted = {
-            n: self.origin.bytes_of(version, n) for n in range(self.origin.chunks)
+        expected = {
+            n: self.origin.piece_bytes(version, n) for n in range(self.origin.chunks)
         }
-        self.bad_loads += self.staged != wanted
-        asyncio.get_running_loop().call_later(0.05, self.loaded, version)
+        self.corrupted_loads += self.staged != expected
+        asyncio.get_running_loop().call_later(0.05, self.finish_load, version)
         return web.Response(status=202)
 
-    def loaded(self, version):
+    def finish_load(self, version):
         self.version, self.busy = version, False
 
-    def refusal(self, request):
+    def rejection(self, request):
         expected = request.headers.get("X-Expect-Instance")
         version = request.headers.get("X-Expect-Version")
         if expected and expected != self.target_id:
@@ -214,17 +219,17 @@
 
     async def serve(self, request):
         body = await request.read()
-        refused = self.refusal(request)
-        if refused is not None:
-            return refused
-        away = self.arrived(request)
-        if away is not None:
-            return away
+        rejection = self.rejection(request)
+        if rejection is not None:
+            return rejection
+        cooldown_rejection = self.record_arrival(request)
+        if cooldown_rejection is not None:
+            return cooldown_rejection
         self.runs.append((request.method, request.raw_path, body, request.headers))
         headers = {
             "X-Request-Attempt-Id": request.headers["X-Request-Attempt-Id"],
             "X-Server-Stamp": f"stamp.{self.target_id}",
-            **self.stated(),
+            **self.signal_headers(),
         }
         if request.method == "GET":
             return web.Response(body=b"plain answer", headers=headers)
@@ -237,9 +242,9 @@
         await response.prepare(request)
         first = int(request.headers.get("Last-Event-Id", 0)) + 1
         for number in range(first, 11):
-            if self.break_after and number > self.break_after:
+            if self.break_stream_after and number > self.break_stream_after:
                 await response.write(b"id: %d\nda" % number)
-                self.break_after = 0
+                self.break_stream_after = 0
                 request.transport.abort()
                 return response
             await response.write(b"id: %d\ndata: %d\n\n" % (number, number * 7))
@@ -248,11 +253,11 @@
         return response
 
 
-EVENTS = b"".join(b"id: %d\ndata: %d\n\n" % (n, n * 7) for n in range(1, 11))
+EVENT_STREAM = b"".join(b"id: %d\ndata: %d\n\n" % (n, n * 7) for n in range(1, 11))
 
 
 def configuration(version, origin, **changes):
-    """Make an operator's configuration of one model service."""
+    """Return an operator's configuration with one model service."""
     route = {
         "name": "r-model",
         "host": "model.example",
--- a/tests/fakes/rate.py
+++ b/tests/fakes/rate.py
@@ -1,19 +1,19 @@
-"""Rate limit of a fake's link: bytes leave no faster than it carries them."""
+"""Bandwidth limit of a fake's link."""
 
 import asyncio
 
 PIECE_BYTES = 1 << 16
 
 
-class RateLimit:
-    """Shared link of `bytes_per_s`; 0 is without limit."""
+class LinkLimit:
+    """Limit of `bytes_per_s` shared by all responses; 0 for no limit."""
 
     def __init__(self, bytes_per_s: float):
         self.bytes_per_s = bytes_per_s
         self.free_at = 0.0
 
-    async def take(self, count: int) -> None:
-        """Wait until `count` more bytes have passed the link."""
+    async def transmit(self, count: int) -> None:
+        """Wait until the link has transmitted `count` more bytes."""
         if not self.bytes_per_s:
             return
         now = asyncio.get_running_loop().time()
--- a/tests/fakes/records.py
+++ b/tests/fakes/records.py
@@ -1,4 +1,4 @@
-"""Records that the fakes keep of what really happened, one JSON line each."""
+"""Records of what the fakes executed and observed, one JSON line each."""
 
 import json
 import time
@@ -6,7 +6,7 @@
 
 
 class Records:
-    """Appends to a file; a line is whole once written.
+    """Appends records to a line-buffered file, so that each is written complete.
 
     Parameters
     ----------
@@ -19,13 +19,13 @@
         self.file = open(path, "a", buffering=1)
 
     def add(self, event: str, **values: object) -> None:
-        """Write one event with the wall clock's time in seconds."""
+        """Write one event with the wall-clock time in seconds."""
         line = {"event": event, "at": time.time(), **values}
         self.file.write(json.dumps(line) + "\n")
 
 
 def read_records(path: str) -> list[dict]:
-    """Read every whole line of a records file."""
+    """Return the complete lines of a records file; empty if it does not exist."""
     if not Path(path).exists():
         return []
     lines = Path(path).read_text().splitlines()
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from tests.fakes.caller import EXPIRY_MS, RESENDS, Callers, Outcome, Workload
+from tests.fakes.caller import EXPIRY_MS, MAX_SENDS, Callers, Outcome, Workload
 
 HEALTH_S = 0.2
 
@@ -43,7 +43,7 @@
         self.all_entries = list(entries)
         self.prefix = prefix
         self.sends: list[Send] = []
-        self.names = (f"{prefix}-{i}" for i in itertools.count(1))
+        self.request_names = (f"{prefix}-{i}" for i in itertools.count(1))
 
     async def run(self) -> None:
         """Send at the rate until `stopping`; then wait for the last answers."""
@@ -76,7 +76,7 @@
     async def resend_one(self, workload: Workload) -> None:
         """Hang up before the answer, then resend until it is answered."""
         self.started += 1
-        name = next(self.names)
+        name = next(self.request_names)
         headers = {
             "X-Client-Account": workload.account,
             "Idempotency-Key": f"key-{name}",
@@ -85,7 +85,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(0.03 + self.rng.random() / 10):
                 await self.send_once(self.session, workload, name, headers)
-        for _ in range(RESENDS):
+        for _ in range(MAX_SENDS):
             outcome = await self.send_once(self.session, workload, name, headers)
             if outcome.status == 200:
                 return
--- a/tests/matrix/promises.py
+++ b/tests/matrix/promises.py
@@ -110,7 +110,7 @@
 
 def answered(send: Send) -> bool:
     """Tell whether a send got a whole answer."""
-    return send.outcome.status == 200 and send.outcome.whole
+    return send.outcome.status == 200 and send.outcome.complete
 
 
 def own_whole_answer(log: CellLog) -> Iterator[str]:
@@ -122,7 +122,7 @@
         last[outcome.name] = outcome
         if not outcome.own_answer:
             yield f"{outcome.name} got another caller's answer"
-        elif outcome.status == 200 and not outcome.whole:
+        elif outcome.status == 200 and not outcome.complete:
             yield f"{outcome.name} got a short answer as if whole"
         elif outcome.status == 200 and outcome.name not in ran:
             yield f"{outcome.name} was answered and no target ran it"
--- a/tests/test_advertised_limit.py
+++ b/tests/test_advertised_limit.py
@@ -50,7 +50,7 @@
         fleet = Fleet(tmp_path, [target])
 
         async def scenario(fleet):
-            target.rate = str(PER_S)
+            target.advertised_rate = str(PER_S)
             for number in range(ENTRIES):
                 assert (await fleet.send(number, b"told"))[0] == 200
             limited_from_s = asyncio.get_running_loop().time() + REACTION_S
@@ -68,7 +68,7 @@
 class TestEngine:
     def test_rate_is_kept(self, tmp_path):
         async def scenario(path):
-            path.engine.rate = str(PER_S)
+            path.engine.advertised_rate = str(PER_S)
             assert (await path.ask())[0] == 200
             limited_from_s = asyncio.get_running_loop().time() + REACTION_S
 
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -1,6 +1,6 @@
 """Weights in force that a control instance publishes."""
 
-from tests.fakes.links import WrittenLink
+from tests.fakes.links import RecordingLink
 from wisteriapulley.control.publisher import Publisher
 from wisteriapulley.control.state import ControlState
 from wisteriapulley.routing import Engine, RoutingTable
@@ -34,14 +34,14 @@
         )
         service = Service("s", engine=Engine("m"))
         self.publisher.table = RoutingTable(1, services=(service,))
-        self.link = WrittenLink()
+        self.link = RecordingLink()
         self.publisher.followers.add(self.link)
 
     def published_versions(self):
         """Return the versions sent to the follower, newest last."""
         return [
             version.version
-            for message in self.link.taken
+            for message in self.link.written
             if isinstance(message, messages.ModelNews)
             for state in message.models
             for version in state.named
@@ -83,6 +83,6 @@
     def test_older_update_is_not_published(self):
         instance = Instance()
         instance.publisher.observe_models(models_of(3))
-        instance.link.taken.clear()
+        instance.link.written.clear()
         instance.publisher.observe_models(models_of(3, age_ms=500))
-        assert instance.link.taken == []
+        assert instance.link.written == []
--- a/tests/test_cooldown.py
+++ b/tests/test_cooldown.py
@@ -47,11 +47,11 @@
 
         async def scenario(fleet):
             cooling.arrivals.clear()
-            cooling.rest = str(COOLDOWN_S)
+            cooling.cooldown = str(COOLDOWN_S)
 
             async def requested():
                 await fleet.send(0, b"told")
-                return cooling.turned_away
+                return cooling.rejected
 
             await fleet.until(requested)
             answers = await send_repeatedly(
@@ -68,7 +68,7 @@
         async def scenario(fleet):
             for target in targets:
                 target.arrivals.clear()
-                target.rest = str(COOLDOWN_S)
+                target.cooldown = str(COOLDOWN_S)
             answers = await send_repeatedly(
                 lambda name: fleet.send(0, name.encode()), COOLDOWN_S / 2
             )
@@ -76,7 +76,7 @@
                 in_cooldown(target.arrivals) <= MAX_IN_COOLDOWN for target in targets
             )
             # Each target rejects one request, and those already in flight then.
-            sends = sum(target.turned_away for target in targets)
+            sends = sum(target.rejected for target in targets)
             assert sends <= len(targets) * CALLERS < len(answers)
             assert {status for status, _ in answers} == {503}
             assert all(0 < float(wait) for _, wait in answers)
@@ -88,19 +88,19 @@
         rejecting, other = PlainTarget(0), PlainTarget(1)
 
         async def scenario(fleet):
-            rejecting.rest = ""
+            rejecting.cooldown = ""
 
             async def rejected():
                 await fleet.send(0, b"told")
-                return rejecting.turned_away >= 2
+                return rejecting.rejected >= 2
 
             await fleet.until(rejected)
-            before = rejecting.turned_away
+            before = rejecting.rejected
             answers = await send_repeatedly(
                 lambda name: fleet.send(0, name.encode()), COOLDOWN_S
             )
             limit = COOLDOWN_S / MAX_OPEN_S + CALLERS
-            assert rejecting.turned_away - before <= limit < len(answers)
+            assert rejecting.rejected - before <= limit < len(answers)
             assert {status for status, _ in answers} == {200}
 
         plain_fleet.play(Fleet(tmp_path, [rejecting, other]), scenario)
@@ -110,7 +110,7 @@
     def test_gets_no_requests_in_its_cooldown(self, tmp_path):
         async def scenario(path):
             path.engine.arrivals.clear()
-            path.engine.rest = str(COOLDOWN_S)
+            path.engine.cooldown = str(COOLDOWN_S)
 
             async def send(name):
                 status, _, _ = await path.ask(id=f"request-{name}")
@@ -125,7 +125,7 @@
     def test_sidecar_rejected_by_its_engine_stops_polling(self, tmp_path):
         async def scenario(path):
             engine = path.engine
-            engine.report_rest = str(COOLDOWN_S)
+            engine.report_cooldown = str(COOLDOWN_S)
             engine.report_times.clear()
 
             async def reported():
@@ -135,7 +135,7 @@
             await asyncio.sleep(COOLDOWN_S)
             assert in_cooldown(engine.report_times) <= MAX_IN_COOLDOWN
             # The last known state of the engine still applies.
-            engine.report_rest = ""
+            engine.report_cooldown = ""
             assert (await path.ask())[0] == 200
 
         test_platform_path.run_scenario(tmp_path, scenario)
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -37,7 +37,7 @@
             await asyncio.sleep(PAUSE_S)
             for target in self.targets:
                 if not target.is_up:
-                    await target.start_again()
+                    await target.restart()
         return statuses
 
 
@@ -79,7 +79,7 @@
 
         async def scenario(fleet):
             for target in fleet.targets:
-                target.work_s = 0.1
+                target.service_time_s = 0.1
             done = asyncio.Event()
 
             async def neighbour(name):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -6,7 +6,7 @@
 
 from tests import plain_fleet, test_platform_path
 from tests.fakes.plain import PlainTarget
-from tests.fakes.platform import EVENTS
+from tests.fakes.platform import EVENT_STREAM
 from tests.plain_fleet import Fleet
 from tests.test_cooldown import send_repeatedly
 from tests.test_response_signals import registry_of, state_of
@@ -80,7 +80,7 @@
             await path.until(running)
             path.engine.leaving = True
             for status, body, _ in await asyncio.gather(*streams):
-                assert (status, body) == (200, EVENTS)
+                assert (status, body) == (200, EVENT_STREAM)
 
         test_platform_path.run_scenario(tmp_path, scenario)
 
@@ -98,7 +98,7 @@
             await path.until(closed)
             path.engine.leaving = False
             path.engine.version = 0
-            path.engine.born += reports_incarnation
+            path.engine.started_ms += reports_incarnation
 
             async def is_open():
                 return slots.open
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -55,7 +55,7 @@
     ("whole_weights", log(runs=[ran(end=V2)])),
     ("whole_weights", log(runs=[ran(version="3" * 64, end="3" * 64)])),
     ("own_whole_answer", log([send(own_answer=False)])),
-    ("own_whole_answer", log([send(whole=False)])),
+    ("own_whole_answer", log([send(complete=False)])),
     ("own_whole_answer", log([send(status=0)])),
     ("own_whole_answer", log(runs=[])),
     ("own_whole_answer", log(started=2)),
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 
-from tests.fakes.platform import EVENTS, Engine, Origin, configuration
+from tests.fakes.platform import EVENT_STREAM, Engine, Origin, configuration
 from tests.fleet import free_hosts, free_port
 from wisteriapulley.platform import names
 from wisteriapulley.platform.daemons import new_control, new_entry, new_sidecar
@@ -183,7 +183,7 @@
     def test_stream_is_forwarded_unchanged(self, tmp_path):
         async def scenario(path):
             status, body, headers = await path.ask(**{"X-Tenant": "forged"})
-            assert (status, body) == (200, EVENTS)
+            assert (status, body) == (200, EVENT_STREAM)
             assert headers["X-Server-Stamp"] == "stamp.i-1"
             ((method, raw, sent, got),) = path.engine.runs
             assert (method, raw, sent) == ("POST", "/m/a%2Fb?x=%20y", b"body")
@@ -210,7 +210,7 @@
 
     def test_broken_stream_of_the_only_target_is_cut(self, tmp_path):
         async def scenario(path):
-            path.engine.break_after = 4
+            path.engine.break_stream_after = 4
             # A request is not sent to the same target twice, so the answer is cut.
             with pytest.raises(aiohttp.ClientError):
                 await path.ask()
@@ -263,9 +263,9 @@
 class TestWeights:
     def test_newer_version_is_downloaded_verified_and_loaded(self, tmp_path):
         async def scenario(path):
-            path.origin.newest = 2
-            path.origin.spoil = {1, 4}
-            path.engine.rot = {0, 3}
+            path.origin.newest_version = 2
+            path.origin.corrupt_positions = {1, 4}
+            path.engine.corrupt_positions = {0, 3}
             order = b'{"model":"model","version":2}'
             await path.post_until_accepted(names.WEIGHTS_CALL, order)
 
@@ -273,13 +273,13 @@
                 return path.engine.version == 2
 
             await path.until(loaded)
-            assert path.engine.bad_loads == 0
+            assert path.engine.corrupted_loads == 0
             await path.wait_served()
             status, body, _ = await path.ask()
-            assert (status, body) == (200, EVENTS)
+            assert (status, body) == (200, EVENT_STREAM)
             assert path.engine.runs[-1][3]["X-Expect-Version"] == "2"
             # Each piece was fetched once, and again if it arrived corrupted.
-            assert path.origin.sent <= path.origin.chunks + 2
+            assert path.origin.pieces_sent <= path.origin.chunks + 2
 
         run_scenario(tmp_path, scenario)
 
@@ -291,7 +291,7 @@
                 return path.engine.version == 1
 
             await path.until(loaded)
-            assert path.engine.bad_loads == 0
+            assert path.engine.corrupted_loads == 0
             await path.wait_served()
 
         run_scenario(tmp_path, scenario)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.fakes.links import WrittenLink
+from tests.fakes.links import RecordingLink
 from tests.test_engine_slots import ENGINE, open_slots, slot_request
 from tests.test_slot_admission import EntryLink, make_admission, reserve
 from wisteriapulley.control.rate_owner import RateOwner
@@ -166,7 +166,7 @@
                 link = links[step % 6]
                 number = next(clock)
                 await reserve(admission, link, number, wait_ms=400)
-                decision = link.taken[-1]
+                decision = link.written[-1]
                 if decision.granted:
                     granted.append(now.ms / 1000)
                     admission.slots.release(f"r{number}", now.ms)
@@ -179,7 +179,7 @@
         assert len(granted) >= 0.9 * (1.5 * 12 - 1)
 
 
-class ControlLink(WrittenLink):
+class ControlLink(RecordingLink):
     """A link to another control instance, or to one that is unreachable."""
 
     peer_id = "control-x"
@@ -313,7 +313,7 @@
             for own, owner in owners.items():
                 owner.receive_rate(update, from_entry=True)
                 for name, link in links[own].items():
-                    for message in link.taken:
+                    for message in link.written:
                         owners[name].receive_rate(message, from_entry=False)
             now.s += 0.1
             late = PassageQuery(ONE, 1.0, 1100)
@@ -377,11 +377,11 @@
 
     def test_rate_is_reported_to_the_sidecar_if_there_is_one(self):
         async def run():
-            control, sidecar = ControlLink(), WrittenLink("sidecar")
+            control, sidecar = ControlLink(), RecordingLink("sidecar")
             permits = RatePermitClient(lambda: [control])
             permits.report_rate(limited_target(), sidecar, 0.5)
             permits.report_rate(limited_target(None), None, 0.5)
-            return control.taken, sidecar.taken
+            return control.written, sidecar.written
 
         control, sidecar = asyncio.run(run())
         assert sidecar == [TargetRate(ONE, 2.0, 500)]
--- a/tests/test_slot_admission.py
+++ b/tests/test_slot_admission.py
@@ -3,7 +3,7 @@
 import asyncio
 import types
 
-from tests.fakes.links import WrittenLink
+from tests.fakes.links import RecordingLink
 from wisteriapulley.rollout.admission import SlotAdmission
 from wisteriapulley.routing import Engine
 from wisteriapulley.wire import Frame, messages
@@ -14,13 +14,13 @@
 CLOCK_SPEEDUP = 20
 
 
-class EntryLink(WrittenLink):
+class EntryLink(RecordingLink):
     """Link of an entry that keeps the messages that are posted to it."""
 
     peer_id = "entry-x"
 
     def post(self, message, reply_to=0):
-        self.taken.append(message)
+        self.written.append(message)
 
     def send_heartbeat(self):
         return
@@ -59,7 +59,7 @@
             waiting = len(admission.slots.queue)
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await asyncio.gather(*reservations)
-            answers = [m for m in link.taken if isinstance(m, messages.Reserved)]
+            answers = [m for m in link.written if isinstance(m, messages.Reserved)]
             decisions = [answer for answer in answers if not answer.queued]
             assert len(decisions) == 40
             assert sum(not decision.granted for decision in decisions) >= waiting
--- a/tests/test_suspect_feed.py
+++ b/tests/test_suspect_feed.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.fakes.links import WrittenLink
+from tests.fakes.links import RecordingLink
 from wisteriapulley.consensus.files import Files
 from wisteriapulley.control.followers import Followers
 from wisteriapulley.control.suspect_feed import NEW_SUSPECTS_BURST, SuspectFeed
@@ -25,7 +25,7 @@
         self.sent_to_peers = []
         self.followers = Followers("z", Regions({}))
         self.feed = SuspectFeed(self.followers, self.sent_to_peers.append)
-        self.entry, self.sidecar = WrittenLink("entry"), WrittenLink("sidecar")
+        self.entry, self.sidecar = RecordingLink("entry"), RecordingLink("sidecar")
         for link in (self.entry, self.sidecar):
             self.followers.add(link)
 
@@ -35,28 +35,28 @@
         instance = Instance()
         instance.feed.observe(ENDED_ONE, from_entry=True)
         assert instance.sent_to_peers == [ENDED_ONE]
-        assert instance.entry.taken == [ENDED_ONE]
-        assert not instance.sidecar.taken
+        assert instance.entry.written == [ENDED_ONE]
+        assert not instance.sidecar.written
 
     def test_suspect_of_peer_goes_to_entries_only(self):
         instance = Instance()
         instance.feed.observe(ENDED_ONE, from_entry=False)
         assert instance.sent_to_peers == []
-        assert instance.entry.taken == [ENDED_ONE]
+        assert instance.entry.written == [ENDED_ONE]
 
     def test_known_suspect_is_not_forwarded_again(self):
         instance = Instance()
         for _ in range(3):
             instance.feed.observe(ENDED_ONE, from_entry=True)
-        assert len(instance.sent_to_peers) == len(instance.entry.taken) == 1
+        assert len(instance.sent_to_peers) == len(instance.entry.written) == 1
 
     def test_new_link_gets_all_suspects(self):
-        instance, link = Instance(), WrittenLink("entry")
+        instance, link = Instance(), RecordingLink("entry")
         instance.feed.send_all(link)
-        assert link.taken == []
+        assert link.written == []
         instance.feed.observe(QUARANTINED, from_entry=True)
         instance.feed.send_all(link)
-        assert link.taken == [QUARANTINED]
+        assert link.written == [QUARANTINED]
 
     def test_end_of_many_targets_does_not_flood_entries(self):
         """Hundreds of targets end during thousands of requests."""
@@ -64,9 +64,9 @@
         for number in range(4 * int(NEW_SUSPECTS_BURST)):
             suspect = Suspect(number.to_bytes(16, "little"), 0, ("a",))
             instance.feed.observe(SuspectNews((suspect,)), from_entry=True)
-        assert len(instance.entry.taken) < 2 * NEW_SUSPECTS_BURST
+        assert len(instance.entry.written) < 2 * NEW_SUSPECTS_BURST
         instance.feed.observe(QUARANTINED, from_entry=True)
-        assert instance.entry.taken[-1] == QUARANTINED
+        assert instance.entry.written[-1] == QUARANTINED
 
 
 class TestSuspectStore:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -89,7 +89,9 @@
 
     async def start(self, folder):
         self.records = folder / "engine.jsonl"
-        self.fake = FakeEngine("e", Records(str(self.records)), load_s=0.01, lag_s=0)
+        self.fake = FakeEngine(
+            "e", Records(str(self.records)), load_s=0.01, report_lag_s=0
+        )
         port = free_port()
         self.runners = [await serve(self.fake.app, port)]
         self.session = aiohttp.ClientSession()
@@ -321,7 +323,7 @@
             target.control.name_version(run_target.first)
             await target.wait_serving(run_target.first)
             await target.put_version(run_target.second)
-            target.fake.fences = fences
+            target.fake.checks_fencing = fences
             entered_states = []
             target.gate.chart.on_enter = entered_states.append
             status = await target.send_stale_order(run_target.second)
@@ -376,7 +378,7 @@
         """
 
         async def scenario(target):
-            target.fake.fences = target.engine.fences = False
+            target.fake.checks_fencing = target.engine.fences = False
             target.fake.token_s = 0.02
             target.control.name_version(run_target.first)
             await target.wait_serving(run_target.first)
--- a/tests/test_target_feed.py
+++ b/tests/test_target_feed.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.fakes.links import WrittenLink
+from tests.fakes.links import RecordingLink
 from wisteriapulley.control import target_feed
 from wisteriapulley.control.followers import Followers
 from wisteriapulley.control.target_feed import (
@@ -40,7 +40,7 @@
         )
 
     def follower(self, role, lossy=None):
-        link = WrittenLink(role, lossy)
+        link = RecordingLink(role, lossy)
         self.followers.add(link)
         return link
 
@@ -60,7 +60,7 @@
                 instance.feed.observe_announcement(state(number))
             await asyncio.sleep(2 * BATCH_DELAY_S)
             for link in (entry, sidecar):
-                (update,) = link.taken
+                (update,) = link.written
                 assert len(update.targets) == 60
             (update,) = instance.sent_to_peers
             assert len(update.targets) == 60
@@ -77,8 +77,8 @@
                 is Change.STATE
             )
             await asyncio.sleep(2 * BATCH_DELAY_S)
-            assert entry.taken[0].targets[0].version == 2
-            assert sidecar.taken == []
+            assert entry.written[0].targets[0].version == 2
+            assert sidecar.written == []
 
         run_scenario(scenario, monkeypatch)
 
@@ -97,7 +97,7 @@
                     instance.feed.observe_announcement(state(number, 1 + second))
                 await asyncio.sleep(0)
                 instance.feed.send_heartbeats_if_due(instance.now_ms)
-            assert [len(link.taken) for link in links] == [10] * 38
+            assert [len(link.written) for link in links] == [10] * 38
             assert len(instance.sent_to_peers) == 10
 
         run_scenario(scenario, monkeypatch)
@@ -108,7 +108,7 @@
             instance.now_ms = 1000.0
             heartbeat = messages.TargetBeat("i-1", 0, 1, False, 10)
             instance.feed.observe_heartbeats(
-                messages.TargetBeats((heartbeat,)), WrittenLink("control")
+                messages.TargetBeats((heartbeat,)), RecordingLink("control")
             )
             instance.feed.send_heartbeats_if_due(1000.0)
             await asyncio.sleep(2 * BATCH_DELAY_S)
@@ -118,14 +118,14 @@
 
     def test_missed_announcements_are_requested(self, monkeypatch):
         async def scenario(instance):
-            link = WrittenLink("control")
+            link = RecordingLink("control")
             heartbeats = (
                 messages.TargetBeat("i-1", 0, 4, False, 0),
                 messages.TargetBeat("i-2", 0, 4, False, 0),
             )
             instance.feed.observe_peer_update([state(2, 4)])
             instance.feed.observe_heartbeats(messages.TargetBeats(heartbeats), link)
-            assert link.taken == [messages.TargetQuery(("i-1",))]
+            assert link.written == [messages.TargetQuery(("i-1",))]
 
         run_scenario(scenario, monkeypatch)
 
@@ -163,7 +163,7 @@
         run_scenario(scenario, monkeypatch)
 
     def deliver(self, registry, link, instance, now_s):
-        received, link.taken = link.taken, []
+        received, link.written = link.written, []
         for message in received:
             if isinstance(message, messages.TargetNews):
                 registry.update(message.targets, now_s)
