--- a/soak/plan.py
+++ b/soak/plan.py
@@ -14,7 +14,7 @@
 
 
 class FaultKind(Enum):
-    """Kind of a fault. Values appear in the output; member order affects the draws."""
+    """Kind of a fault. The values appear in the output."""
 
     KILL = "kill"
     TERM = "term"
@@ -43,7 +43,7 @@
     WEIGHTS = "weights"
 
 
-# Planned operations, which no request may notice. All other kinds are failures.
+# Planned operations, which must not make requests fail. All other kinds are failures.
 PLANNED_KINDS = frozenset(
     {
         FaultKind.TERM,
@@ -71,7 +71,7 @@
     FaultKind.ENGINE_RELEASE,
     FaultKind.STAGED_CORRUPTION,
 )
-# Relative frequency of each kind.
+# Relative frequency of each kind. The draws of a seed depend on the order.
 DRAW_WEIGHTS = {
     FaultKind.KILL: 3,
     FaultKind.TERM: 3,
@@ -162,7 +162,7 @@
         Time in which faults start.
     shape : FleetShape
         Processes and targets that faults can affect.
-    pause_s : float
+    mean_interval_s : float
         Mean time between two faults or series.
     """
     faults = [
@@ -193,7 +193,7 @@
         kind = rng.choices(kinds, weights)[0]
         for repeat in range(rng.choice((1, 1, 1, 1, 3))):
             name = rng.choice(candidates(kind, shape))
-            # Repeats start sooner than the previous one ends, so they overlap.
+            # The offsets are short compared to the durations, so repeats overlap.
             offset_s = repeat * rng.uniform(0.05, 0.8)
             yield Fault(at_s + offset_s, kind, name, rng.uniform(0.1, 3.0))
         at_s += rng.expovariate(1 / mean_interval_s)
