--- a/specs/__init__.py
+++ b/specs/__init__.py
@@ -1,1 +1,1 @@
-"""Specifications of the core protocols, checked by `make check-spec`."""
+"""Specifications of the core protocols, checked by ``make check-spec``."""
--- a/specs/check.py
+++ b/specs/check.py
@@ -1,8 +1,8 @@
-"""``make check-spec``: run the invariants, then every mutant against them.
+"""``make check-spec``: check the invariants on the real code and on every mutant.
 
-Seeds are fixed, so each run gives the same verdict. The last line is one JSON
-object; the exit status is 1 unless every invariant holds and every mutant is
-caught.
+Seeds are fixed, so each run gives the same result. The last line of the output is
+one JSON object. The exit status is 1 unless every invariant holds for the real code
+and every mutant violates one of its invariants.
 """
 
 import json
@@ -33,9 +33,9 @@
     "no_revision_reverts",
     "one_run_per_claim",
 )
-# Episodes of one example: enough for a loss, its repair and the next loss.
-EPISODES = 40
-# A mutant is searched for as long as the real one is checked.
+# Enough for a disk loss, its repair and the next loss.
+RULES_PER_EXAMPLE = 40
+# A mutant is run on as many examples as the real code.
 REPLICA_EXAMPLES = 120
 CLAIMS_EXAMPLES = 600
 MACHINES = {
@@ -46,24 +46,34 @@
 
 
 class Run(NamedTuple):
-    """Outcome of one machine: the breach, if there was one."""
+    """Result of running one state machine.
 
-    breach: str
+    Attributes
+    ----------
+    violation : str
+        Name and detail of the violated invariant; empty if all held.
+    steps : int
+        Steps that the machine made.
+    checks : int
+        Checks of invariants.
+    """
+
+    violation: str
     steps: int
     checks: int
 
 
 def run_machine(machine: type, options: dict, examples: int) -> Run:
-    """Drive a machine through `examples` runs, the same each time."""
-    driven = type(machine.__name__, (machine,), {"options": options, "steps": 0})
-    driven.checks = 0
-    breach = ""
+    """Run a state machine on `examples` examples, the same ones in every call."""
+    subclass = type(machine.__name__, (machine,), {"options": options, "steps": 0})
+    subclass.checks = 0
+    violation = ""
     try:
         run_state_machine_as_test(
-            driven,
+            subclass,
             settings=settings(
                 max_examples=examples,
-                stateful_step_count=EPISODES,
+                stateful_step_count=RULES_PER_EXAMPLE,
                 derandomize=True,
                 database=None,
                 deadline=None,
@@ -74,26 +84,26 @@
             ),
         )
     except ViolationError as error:
-        breach = str(error)
-    return Run(breach, driven.steps, driven.checks)
+        violation = str(error)
+    return Run(violation, subclass.steps, subclass.checks)
 
 
-def run_apart(machine: str, mutant: str, examples: int) -> Run:
-    """Drive a machine in a process of its own.
+def run_in_subprocess(machine: str, mutant: str, examples: int) -> Run:
+    """Run a state machine in a new process.
 
-    Hypothesis draws constants of whatever modules are imported, so in a process that
-    has imported other tests the same seed gives other runs.
+    Hypothesis draws constants from all imported modules, so the same seed gives other
+    examples in a process that has imported other tests.
 
     Parameters
     ----------
     machine : str
         Name in `MACHINES`.
     mutant : str
-        Name of a variant of it; empty for the real one.
+        Name of a mutant; empty for the real code.
     examples : int
-        How many runs.
+        Number of examples.
     """
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "specs.check", machine, mutant, str(examples)],
         cwd=ROOT,
         env={"PYTHONPATH": f"{ROOT / 'src'}:{ROOT}"},
@@ -101,18 +111,18 @@
         check=True,
         text=True,
     )
-    return Run(*json.loads(done.stdout))
+    return Run(*json.loads(completed.stdout))
 
 
-def run_named(machine: str, mutant: str, examples: int) -> Run:
-    """Drive a machine, or a variant of it, by name."""
-    tested, mutants = MACHINES[machine]
+def run_by_name(machine: str, mutant: str, examples: int) -> Run:
+    """Run a state machine on the real code or on a mutant, by name."""
+    machine_class, mutants = MACHINES[machine]
     options = next((m.options for m in mutants if m.name == mutant), {})
-    return run_machine(tested, options, examples)
+    return run_machine(machine_class, options, examples)
 
 
 class Report:
-    """Adds up the runs and prints each as it ends."""
+    """Print each result and add up the totals."""
 
     def __init__(self):
         self.steps = 0
@@ -121,46 +131,48 @@
         self.mutants = 0
         self.caught = 0
 
-    def add_real(self, name: str, run: Run) -> None:
-        """Note a run of the real thing."""
+    def add_machine(self, name: str, run: Run) -> None:
+        """Record a run of the real code."""
         self.steps += run.steps
         self.checks += run.checks
-        self.violations += bool(run.breach)
-        print(f"{name}: {run.breach or 'holds'} after {run.steps} steps", flush=True)
+        self.violations += bool(run.violation)
+        print(f"{name}: {run.violation or 'holds'} after {run.steps} steps", flush=True)
 
     def add_mutant(self, name: str, caught: bool, detail: str) -> None:
-        """Note a run of a mutant."""
+        """Record a run of a mutant."""
         self.mutants += 1
         self.caught += caught
-        word = "caught" if caught else "MISSED"
-        print(f"mutant {name}: {word}: {detail[:120]}", flush=True)
+        outcome = "caught" if caught else "MISSED"
+        print(f"mutant {name}: {outcome}: {detail[:120]}", flush=True)
 
-    def whole(self) -> bool:
-        """Tell whether all held and every mutant was caught."""
+    def passed(self) -> bool:
+        """Return whether all invariants held and every mutant was caught."""
         return not self.violations and self.caught == self.mutants
 
 
 def check_machine(report: Report, machine: type, mutants: tuple, examples: int) -> None:
-    """Check a machine, then its mutants."""
-    report.add_real(machine.__name__, run_machine(machine, {}, examples))
+    """Check a state machine on the real code, then on its mutants."""
+    report.add_machine(machine.__name__, run_machine(machine, {}, examples))
     for mutant in mutants:
         run = run_machine(machine, mutant.options, examples)
-        caught = run.breach.split(":")[0] in mutant.breaches
-        report.add_mutant(mutant.name, caught, run.breach)
+        caught = run.violation.split(":")[0] in mutant.violated
+        report.add_mutant(mutant.name, caught, run.violation)
 
 
 def check_facts(report: Report) -> None:
-    """Prove the facts and refute their variants."""
+    """Prove the facts and refute their mutants."""
     for fact in facts():
-        verdict = fact.breach.check()
+        verdict = fact.violation.check()
         report.violations += verdict != z3.unsat
-        print(f"{fact.name}: breach is {verdict}", flush=True)
-        refuted = fact.mutant.check()
-        report.add_mutant(f"{fact.name} variant", refuted == z3.sat, str(refuted))
+        print(f"{fact.name}: violation is {verdict}", flush=True)
+        mutant_verdict = fact.mutant.check()
+        report.add_mutant(
+            f"{fact.name} variant", mutant_verdict == z3.sat, str(mutant_verdict)
+        )
 
 
 def main() -> int:
-    """Run all; return the exit status."""
+    """Run all checks and return the exit status."""
     start = time.monotonic()
     report = Report()
     check_facts(report)
@@ -180,12 +192,12 @@
             }
         )
     )
-    return 0 if report.whole() else 1
+    return 0 if report.passed() else 1
 
 
 if __name__ == "__main__":
     if sys.argv[1:]:
         machine, mutant, examples = sys.argv[1:]
-        print(json.dumps(run_named(machine, mutant, int(examples))))
+        print(json.dumps(run_by_name(machine, mutant, int(examples))))
         sys.exit(0)
     sys.exit(main())
--- a/specs/claims_machine.py
+++ b/specs/claims_machine.py
@@ -1,8 +1,8 @@
-"""Hypothesis drives the real claims ledger and attempt tables.
+"""Hypothesis state machine over the real claims ledger and attempt tables.
 
-Two entries and two targets; messages are late; a target restarts and forgets.
-What is checked: a request whose claim stands runs at most once, and one that
-was resolved as not run never runs.
+There are two entries and two targets. Messages are delayed, and a target loses its
+attempts when it restarts. The machine checks that a request whose claim was accepted
+runs at most once, and that a request that was resolved as not run never runs.
 """
 
 from typing import NamedTuple
@@ -23,14 +23,14 @@
 KEYS = ("k1", "k2")
 TARGETS = ("t1", "t2")
 EXPIRY_S = 60
-ANSWER = KeptAnswer(200, (), "", b"")
+KEPT_ANSWER = KeptAnswer(200, (), "", b"")
 
 keys = st.sampled_from(KEYS)
 targets = st.sampled_from(TARGETS)
 
 
-class Sent(NamedTuple):
-    """A dispatch on its way to a target; `request` counts uses of the key."""
+class SentDispatch(NamedTuple):
+    """A dispatch in flight to a target; `request` counts the uses of the key."""
 
     key: str
     request: int
@@ -46,20 +46,20 @@
         self.restart()
 
     def restart(self) -> None:
-        """Forget every attempt under a new incarnation."""
+        """Drop every attempt and start a new incarnation."""
         self.incarnation += 1
         self.table = self.table_class()
 
 
 class ClaimsMachine(RuleBasedStateMachine):
-    """Rules are what entries and targets do.
+    """Rules are the actions of entries and targets.
 
     Attributes
     ----------
     ledger_class, table_class : type
-        The real ones, or mutants.
+        The real classes, or mutants of them.
     trusts_restart : bool
-        Mutant: a restarted target's empty table counts as "not run".
+        Mutant: the empty table of a restarted target is taken for "not run".
     """
 
     options: dict = {}
@@ -72,18 +72,20 @@
         table_class = self.options.get("table_class", AttemptTable)
         self.trusts_restart = self.options.get("trusts_restart", False)
         self.targets = {name: Target(table_class) for name in TARGETS}
-        self.sent: list[Sent] = []
+        self.sent: list[SentDispatch] = []
         self.runs: dict[tuple[str, int], int] = {}
         self.running: list[tuple[str, object]] = []
         self.requests = dict.fromkeys(KEYS, 0)
         self.now_s = 1000
 
-    def standing(self, key: str) -> Claim | None:
-        """Return the claim that stands for a key."""
+    def current_claim(self, key: str) -> Claim | None:
+        """Return the current claim of a key."""
         return self.ledger.claims.get(ClaimKey("account", key))
 
-    def put(self, key: str, target: str, attempt: int, expires_at_ms: int) -> None:
-        """Claim by compare-and-set, and dispatch when the claim stands."""
+    def propose_claim(
+        self, key: str, target: str, attempt: int, expires_at_ms: int
+    ) -> None:
+        """Propose a claim by compare-and-set, and dispatch if it is accepted."""
         type(self).steps += 1
         incarnation = self.targets[target].incarnation
         claim = Claim(b"body", target, incarnation, attempt + 1, expires_at_ms)
@@ -91,26 +93,26 @@
             ClaimKey("account", key), claim, attempt, self.now_s * 1000
         )
         if result.code == ResultCode.OK:
-            # The first attempt is a new use of the key, also after the ledger
-            # forgot an earlier one that has expired.
+            # A first attempt is a new use of the key, also if the ledger has
+            # dropped an earlier use that expired.
             self.requests[key] += result.claim.attempt == 1
-            self.sent.append(Sent(key, self.requests[key], result.claim))
+            self.sent.append(SentDispatch(key, self.requests[key], result.claim))
 
     @rule(key=keys, name=targets)
     def submit(self, key, name):
-        """Send a request for the first time, or again."""
-        if self.standing(key) is None:
-            self.put(key, name, 0, (self.now_s + EXPIRY_S) * 1000)
+        """Send a request, unless its key has a claim."""
+        if self.current_claim(key) is None:
+            self.propose_claim(key, name, 0, (self.now_s + EXPIRY_S) * 1000)
 
     @rule(key=keys, first=targets, second=targets)
     def submit_twice(self, key, first, second):
-        """Let two entries read the ledger, then claim both."""
-        self.put(key, first, 0, (self.now_s + EXPIRY_S) * 1000)
-        self.put(key, second, 0, (self.now_s + EXPIRY_S) * 1000)
+        """Let two entries read the ledger, and then let both propose a claim."""
+        self.propose_claim(key, first, 0, (self.now_s + EXPIRY_S) * 1000)
+        self.propose_claim(key, second, 0, (self.now_s + EXPIRY_S) * 1000)
 
     @rule(position=st.integers(0, 3), refused=st.sampled_from([False, False, True]))
     def deliver(self, position, refused):
-        """Let a dispatch reach its target, in any order."""
+        """Deliver a dispatch to its target, in any order."""
         if not self.sent:
             return
         sent = self.sent.pop(position % len(self.sent))
@@ -126,10 +128,10 @@
         except RequestError:
             return
         self.running.append((claim.target, attempt))
-        self.count_run(sent)
+        self.check_run(sent)
 
-    def count_run(self, sent: Sent) -> None:
-        """Check that it is the only run of the request."""
+    def check_run(self, sent: SentDispatch) -> None:
+        """Count a run of a request and check that it is the only one."""
         name = (sent.key, sent.request)
         self.runs[name] = self.runs.get(name, 0) + 1
         type(self).checks += 1
@@ -137,25 +139,28 @@
 
     @rule(lost=st.booleans())
     def finish(self, lost):
-        """Let the oldest run end, whole or not."""
+        """End the oldest run, completed or lost."""
         if self.running:
             target, attempt = self.running.pop(0)
             table = self.targets[target].table
             if attempt in table.attempts.values():
-                attempt.fire("lose") if lost else table.finish(attempt, ANSWER)
+                attempt.fire("lose") if lost else table.finish(attempt, KEPT_ANSWER)
 
     @rule(key=keys, name=targets, entries=st.integers(1, 2))
     def follow_up(self, key, name, entries):
-        """Resolve the standing attempt; claim the next if it did not run."""
-        claim = self.standing(key)
+        """Resolve the current attempt; claim the next one if it did not run."""
+        claim = self.current_claim(key)
         if claim is None:
             return
         for _ in range(entries):
             if self.resolved_not_run(key, claim):
-                self.put(key, name, claim.attempt, claim.expires_at_ms)
+                self.propose_claim(key, name, claim.attempt, claim.expires_at_ms)
 
     def resolved_not_run(self, key: str, claim: Claim) -> bool:
-        """Ask the claim's target; a new incarnation cannot know."""
+        """Return whether the target says that the claim's attempt did not run.
+
+        A new incarnation of the target can't tell.
+        """
         target = self.targets[claim.target]
         if claim.incarnation != target.incarnation and not self.trusts_restart:
             return False
@@ -171,8 +176,8 @@
         seconds=st.sampled_from([0, 30, 130]),
         restarts=st.booleans(),
     )
-    def late_original(self, key, first, second, seconds, restarts):
-        """Run the next attempt, and let the first one come after it."""
+    def late_first_attempt(self, key, first, second, seconds, restarts):
+        """Run the next attempt, and deliver the first one after it."""
         self.submit(key, first)
         if restarts:
             self.deliver(0, False)
@@ -190,7 +195,7 @@
 
     @rule(seconds=st.sampled_from([0, 30, 130]))
     def wait(self, seconds):
-        """Let time pass, also beyond the expiry."""
+        """Let time pass, also beyond the expiry of claims."""
         self.now_s += seconds
         for target in self.targets.values():
             target.table.drop_expired(self.now_s)
--- a/specs/claims_mutants.py
+++ b/specs/claims_mutants.py
@@ -1,26 +1,26 @@
-"""Deliberately broken variants of the claims."""
+"""Mutants: deliberately broken variants of the claims ledger and attempt table."""
 
 from specs.mutants import Mutant
 from wisteriapulley.claims import ClaimLedger
 from wisteriapulley.sidecar.attempts import Attempt, AttemptTable
 
-BREACH = ("one_run_per_claim",)
+VIOLATED = ("one_run_per_claim",)
 
 
-class AnyAttempt(ClaimLedger):
-    """Sets a claim without comparing the attempt."""
+class IgnoresExpectedAttempt(ClaimLedger):
+    """Accepts a claim without comparing its attempt number."""
 
     def put(self, key, claim, expected_attempt, now_ms):
-        """Take the standing attempt for the expected one."""
-        standing = self.claims.get(key)
-        current = standing.attempt if standing is not None else 0
+        """Use the current attempt number as the expected one."""
+        current_claim = self.claims.get(key)
+        current = current_claim.attempt if current_claim is not None else 0
         return super().put(
             key, type(claim)(*claim_fields(claim, current + 1)), current, now_ms
         )
 
 
 def claim_fields(claim, attempt: int) -> tuple:
-    """Return a claim's fields with another attempt."""
+    """Return a claim's fields with another attempt number."""
     return (
         claim.body_digest,
         claim.target,
@@ -30,30 +30,30 @@
     )
 
 
-class NoTombstone(AttemptTable):
-    """Answers "not run" and leaves nothing."""
+class LeavesNoTombstone(AttemptTable):
+    """Answers "not run" without leaving a tombstone."""
 
     def resolve(self, key, number, expires_s):
-        """Forget what was answered."""
-        standing = self.attempts.get(key)
-        if standing is None or standing.number < number:
+        """Return a tombstone without storing it."""
+        current_attempt = self.attempts.get(key)
+        if current_attempt is None or current_attempt.number < number:
             attempt = Attempt(number, expires_s)
             attempt.fire("resolve")
             return attempt
-        return standing
+        return current_attempt
 
 
-class NoExpiry(AttemptTable):
-    """Starts requests after their expiry."""
+class IgnoresExpiry(AttemptTable):
+    """Starts requests that have expired."""
 
     def start(self, key, number, expires_s, now_s):
-        """Take every request for a fresh one."""
+        """Extend the expiry of every request beyond now."""
         return super().start(key, number, max(expires_s, now_s + 1), now_s)
 
 
 CLAIM_MUTANTS = (
-    Mutant("claims_any_attempt", {"ledger_class": AnyAttempt}, BREACH),
-    Mutant("leaves_no_tombstone", {"table_class": NoTombstone}, BREACH),
-    Mutant("starts_after_expiry", {"table_class": NoExpiry}, BREACH),
-    Mutant("trusts_restarted_target", {"trusts_restart": True}, BREACH),
+    Mutant("claims_any_attempt", {"ledger_class": IgnoresExpectedAttempt}, VIOLATED),
+    Mutant("leaves_no_tombstone", {"table_class": LeavesNoTombstone}, VIOLATED),
+    Mutant("starts_after_expiry", {"table_class": IgnoresExpiry}, VIOLATED),
+    Mutant("trusts_restarted_target", {"trusts_restart": True}, VIOLATED),
 )
--- a/specs/invariants.py
+++ b/specs/invariants.py
@@ -1,6 +1,6 @@
-"""What must always hold of the replicated log; a breach raises `ViolationError`.
+"""Invariants of the replicated log; a violation raises `ViolationError`.
 
-The ledger sees every event of every replica, which no replica can.
+`History` records the events of all replicas, which no single replica sees.
 """
 
 import zlib
@@ -10,20 +10,20 @@
 
 
 class ViolationError(AssertionError):
-    """An invariant does not hold; the message begins with its name."""
+    """Raised when an invariant does not hold; the message begins with its name."""
 
 
-class Committed(NamedTuple):
-    """What the cluster agreed on at one index.
+class CommittedRecord(NamedTuple):
+    """The record that the cluster committed at one index.
 
     Attributes
     ----------
     record : Record
         The record.
     digest : int
-        Of all committed records up to it.
+        Digest of all committed records up to this one.
     revision : int
-        How many of them are commands.
+        Number of commands among them.
     """
 
     record: Record
@@ -32,65 +32,65 @@
 
 
 def require(holds: bool, invariant: str, detail: str) -> None:
-    """Raise unless the invariant holds."""
+    """Raise `ViolationError` unless the invariant holds."""
     if not holds:
         raise ViolationError(f"{invariant}: {detail}")
 
 
-class Truth:
-    """Everything that was ever led, stored and committed."""
+class History:
+    """All leaders, saved records and committed records of a run."""
 
     def __init__(self):
         self.leaders: dict[int, tuple[str, int]] = {}
-        self.stored: dict[tuple[int, int], tuple[bytes, int]] = {}
-        self.committed: dict[int, Committed] = {}
-        self.last = 0
+        self.saved_records: dict[tuple[int, int], tuple[bytes, int]] = {}
+        self.committed: dict[int, CommittedRecord] = {}
+        self.last_index = 0
         self.members: Members | None = None
         self.checks = 0
 
-    def led(self, node, term: int) -> None:
-        """Check a new leader: alone in its term, and holding every commit."""
+    def record_leader(self, node, term: int) -> None:
+        """Check that a leader is alone in its term and holds all committed records."""
         self.checks += 1
-        name = (node.node_id, node.boots)
+        name = (node.node_id, node.starts)
         first = self.leaders.setdefault(term, name)
         require(first == name, "election_safety", f"term {term}: {first} and {name}")
         log = node.replica.log
-        for index, entry in self.committed.items():
-            held = index <= log.base_index or log.holds(index, entry.record.term)
-            require(held, "leader_completeness", f"{name} leads without {index}")
+        for index, committed in self.committed.items():
+            is_held = index <= log.base_index or log.holds(index, committed.record.term)
+            require(is_held, "leader_completeness", f"{name} leads without {index}")
 
-    def saved(self, record: Record, previous_term: int) -> None:
-        """Check that a term and index name one record after one history."""
+    def record_saved(self, record: Record, previous_term: int) -> None:
+        """Check that term and index always identify the same record and predecessor."""
         self.checks += 1
         content = (record.data, previous_term)
-        first = self.stored.setdefault((record.term, record.index), content)
+        first = self.saved_records.setdefault((record.term, record.index), content)
         require(first == content, "log_matching", f"{record.index}@{record.term}")
 
-    def applied(self, record: Record) -> Committed:
-        """Check that all apply the same record at one index."""
+    def record_applied(self, record: Record) -> CommittedRecord:
+        """Check that all replicas apply the same record at an index."""
         self.checks += 1
-        entry = self.committed.get(record.index)
-        if entry is None:
-            entry = self.commit(record)
+        committed = self.committed.get(record.index)
+        if committed is None:
+            committed = self.record_commit(record)
         require(
-            entry.record == record,
+            committed.record == record,
             "no_commit_lost",
-            f"{record.index}: {entry.record} was committed, {record} came",
+            f"{record.index}: {committed.record} was committed, got {record}",
         )
-        return entry
+        return committed
 
-    def commit(self, record: Record) -> Committed:
-        """Note the first time that a record is seen committed."""
+    def record_commit(self, record: Record) -> CommittedRecord:
+        """Record a record that is committed for the first time."""
         require(
-            record.index == self.last + 1,
+            record.index == self.last_index + 1,
             "no_commit_lost",
-            f"{record.index} was committed after {self.last}",
+            f"{record.index} was committed after {self.last_index}",
         )
-        before = self.committed.get(self.last)
+        before = self.committed.get(self.last_index)
         digest = zlib.crc32(record.data, before.digest if before else 0)
         command = record.kind == RecordKind.COMMAND
         revision = (before.revision if before else 0) + command
-        entry = Committed(record, digest, revision)
-        self.committed[record.index] = entry
-        self.last = record.index
-        return entry
+        committed = CommittedRecord(record, digest, revision)
+        self.committed[record.index] = committed
+        self.last_index = record.index
+        return committed
--- a/specs/mutants.py
+++ b/specs/mutants.py
@@ -1,4 +1,4 @@
-"""Deliberately broken variants: each breaks one rule that carries a promise."""
+"""Mutants: variants of the real code that each break one rule of the protocol."""
 
 from typing import NamedTuple
 
@@ -8,32 +8,32 @@
 
 
 class Mutant(NamedTuple):
-    """Options of a `Cluster` and the invariants that its fault may breach."""
+    """Options that inject a fault, and the invariants that it may violate."""
 
     name: str
     options: dict
-    breaches: tuple[str, ...]
+    violated: tuple[str, ...]
 
 
 class VotesTwice(Replica):
-    """Votes for whoever asks, also a second time in a term."""
+    """Votes more than once in a term."""
 
     def handle_vote_request(self, message: VoteRequest) -> None:
-        """Forget the vote first."""
+        """Clear the vote, then handle the request."""
         self.voted_for = ""
         super().handle_vote_request(message)
 
 
 class VotesForShortLog(Replica):
-    """Votes for a candidate that lacks records."""
+    """Votes for a candidate whose log is behind."""
 
     def handle_vote_request(self, message: VoteRequest) -> None:
-        """Take the candidate's log for the longest."""
+        """Treat the candidate's log as up to date."""
         super().handle_vote_request(message._replace(last_term=1 << 40))
 
 
 class AppendsUnchecked(Replica):
-    """Takes records in without checking what stands before them."""
+    """Appends records without checking the record before them."""
 
     def handle_append_request(self, message) -> None:
         """Pretend that the previous record matches."""
@@ -45,15 +45,15 @@
 
 
 class CountsUnsynced(Replica):
-    """Counts the leader's own records before its disk holds them."""
+    """Counts the leader's own records before they are synced to its disk."""
 
     def match_index_of(self, node_id: str) -> int:
-        """Take the last record for a synced one."""
+        """Report the leader's last record as synced."""
         own = node_id == self.node_id
         return self.last_index if own else super().match_index_of(node_id)
 
     def handle_append_reply(self, message) -> None:
-        """Commit at once, and acknowledge before the own sync."""
+        """Treat all of the leader's own records as synced."""
         super().handle_append_reply(message)
         self.synced_index = self.last_index
 
@@ -62,17 +62,17 @@
     """Acknowledges an append before its records are synced."""
 
     def ready(self):
-        """Let every message leave early."""
+        """Move all messages to before the sync."""
         ready = super().ready()
         early = ready.early_messages + ready.late_messages
         return ready._replace(early_messages=early, late_messages=())
 
 
-class PromotesEmpty(Replica):
-    """Gives a learner its vote before it holds the log."""
+class PromotesEmptyLearner(Replica):
+    """Promotes a learner to voter before it holds the log."""
 
     def has_all_committed_records(self, node_id: str, identity: str) -> bool:
-        """Ask for nothing."""
+        """Skip the check."""
         return True
 
 
@@ -80,17 +80,20 @@
     """Starts a membership change before the last one is committed."""
 
     def can_change_members(self) -> bool:
-        """Wait for nothing."""
+        """Skip the wait for the last change to commit."""
         return self.is_leader
 
     def change_members(self, members):
-        """Take no heed of who answers."""
+        """Treat every member as responsive."""
         self.is_responsive = lambda node_id: True
         return super().change_members(members)
 
 
 class ForgetsLease(Replica):
-    """Votes right after a restart, while a lease may rest on its word."""
+    """Votes right after a restart.
+
+    A leader may then still hold a lease that this replica acknowledged before.
+    """
 
     def __init__(self, *arguments, **options):
         super().__init__(*arguments, **options)
@@ -98,82 +101,88 @@
 
 
 class IgnoresClock(Replica):
-    """Believes in its lease without looking at the clock."""
+    """Holds its lease without reading the clock."""
 
     def lease_left_ms(self, now_ms: float) -> float:
-        """Hold the lease as long as it leads."""
+        """Return the full lease while this replica is leader."""
         return float(self.timing.lease_ms) if self.is_leader else 0.0
 
 
-class KeepsLeaseOnHandOver(Replica):
-    """Asks another to lead and goes on with its lease."""
+class KeepsLeaseOnTransfer(Replica):
+    """Asks a voter to take over the leadership but keeps its own lease."""
 
     def step_down(self) -> None:
-        """Stay the leader while handing over."""
-        if not self.asked:
+        """Do nothing during a leadership transfer."""
+        if not self.in_transfer:
             super().step_down()
 
-    asked = False
+    in_transfer = False
 
     def transfer_leadership(self) -> bool:
-        """Hand over without stepping down."""
-        self.asked = True
-        done = super().transfer_leadership()
-        self.asked = False
-        return done
+        """Transfer the leadership without stepping down."""
+        self.in_transfer = True
+        transferred = super().transfer_leadership()
+        self.in_transfer = False
+        return transferred
 
 
 class TakesAnyRevision(LocalCatalogue):
-    """A node that applies what it hears last."""
+    """Applies every update, also one with a lower revision."""
 
     def apply_update(self, update) -> bool:
-        """Forget what was in force."""
+        """Drop the catalogue in force, then apply the update."""
         self.image = type(self.image)(0, {})
         return super().apply_update(update)
 
 
 class TrustsAnyInstance(LocalCatalogue):
-    """A node that starts with what any instance tells, quorum or not."""
+    """Starts with the update of any instance, confirmed by a quorum or not."""
 
     def apply_update(self, update) -> bool:
-        """Take every update for a confirmed one."""
+        """Treat every update as confirmed."""
         return super().apply_update(update._replace(fresh=True))
 
 
 SAFETY = ("election_safety", "leader_completeness", "log_matching", "no_commit_lost")
 
 
-def of(name: str, replica_class: type, *breaches: str) -> Mutant:
-    """Make a mutant of the replica."""
-    return Mutant(name, {"replica_class": replica_class}, breaches)
+def replica_mutant(name: str, replica_class: type, *violated: str) -> Mutant:
+    """Return a mutant that replaces the replica class."""
+    return Mutant(name, {"replica_class": replica_class}, violated)
 
 
 MUTANTS = (
-    of("votes_twice", VotesTwice, "election_safety"),
+    replica_mutant("votes_twice", VotesTwice, "election_safety"),
     Mutant("forgets_vote", {"forgets_vote": True}, SAFETY),
-    Mutant("notes_uncommitted", {"notes_uncommitted": True}, SAFETY),
-    of("votes_for_short_log", VotesForShortLog, "leader_completeness"),
-    of("appends_unchecked", AppendsUnchecked, "log_matching", "no_commit_lost"),
-    of("counts_unsynced", CountsUnsynced, *SAFETY),
-    of("answers_before_sync", AnswersBeforeSync, *SAFETY),
+    Mutant("notes_uncommitted", {"records_uncommitted": True}, SAFETY),
+    replica_mutant("votes_for_short_log", VotesForShortLog, "leader_completeness"),
+    replica_mutant(
+        "appends_unchecked", AppendsUnchecked, "log_matching", "no_commit_lost"
+    ),
+    replica_mutant("counts_unsynced", CountsUnsynced, *SAFETY),
+    replica_mutant("answers_before_sync", AnswersBeforeSync, *SAFETY),
     Mutant(
         "emptied_disk_keeps_name",
         {"keeps_identity": True},
         (*SAFETY, "one_lease_holder"),
     ),
-    of("promotes_empty_learner", PromotesEmpty, "voter_holds_commits"),
-    of("changes_many_at_once", ChangesManyAtOnce, *SAFETY),
-    of("forgets_lease", ForgetsLease, "one_lease_holder"),
-    of("ignores_clock", IgnoresClock, "one_lease_holder"),
-    of("keeps_lease_on_hand_over", KeepsLeaseOnHandOver, "one_lease_holder"),
+    replica_mutant(
+        "promotes_empty_learner", PromotesEmptyLearner, "voter_holds_commits"
+    ),
+    replica_mutant("changes_many_at_once", ChangesManyAtOnce, *SAFETY),
+    replica_mutant("forgets_lease", ForgetsLease, "one_lease_holder"),
+    replica_mutant("ignores_clock", IgnoresClock, "one_lease_holder"),
+    replica_mutant(
+        "keeps_lease_on_hand_over", KeepsLeaseOnTransfer, "one_lease_holder"
+    ),
     Mutant(
         "takes_any_revision",
-        {"holder_class": TakesAnyRevision},
+        {"catalogue_class": TakesAnyRevision},
         ("no_revision_reverts",),
     ),
     Mutant(
         "trusts_any_instance",
-        {"holder_class": TrustsAnyInstance},
+        {"catalogue_class": TrustsAnyInstance},
         ("no_revision_reverts",),
     ),
 )
--- a/specs/proofs.py
+++ b/specs/proofs.py
@@ -1,7 +1,7 @@
-"""Facts that z3 proves for every case, where a run shows only some.
+"""Facts that z3 proves for all cases; test runs cover only some.
 
-Quorums are sets of up to `VOTERS` disks as bit vectors; leases are instants
-and clock rates as reals. Each fact has a variant that must be refuted.
+Quorums are modelled as bit vectors over up to `MAX_VOTERS` disks, leases as instants
+and clock rates in real numbers. Each fact has a mutant that must be refuted.
 """
 
 from typing import NamedTuple
@@ -10,60 +10,79 @@
 
 from wisteriapulley.consensus import Timing
 
-# Control instances are at most seven, plus one that joins.
-VOTERS = 8
-# Clocks that run up to this share fast or slow.
-DRIFT = 0.15
+# At most seven control instances, and one that joins.
+MAX_VOTERS = 8
+# Maximum clock rate error, as a fraction.
+MAX_CLOCK_DRIFT = 0.15
 
 
 class Fact(NamedTuple):
-    """A claim and its breach: `breach` must be unsatisfiable.
-
-    `mutant` is the breach of a broken variant and must be satisfiable.
+    """A fact to prove.
+
+    Attributes
+    ----------
+    name : str
+        Name of the fact.
+    violation : z3.Solver
+        Constraints of a violation of the fact; must be unsatisfiable.
+    mutant : z3.Solver
+        The same for a broken variant; must be satisfiable.
     """
 
     name: str
-    breach: z3.Solver
+    violation: z3.Solver
     mutant: z3.Solver
 
 
-def size(bits: z3.BitVecRef) -> z3.ArithRef:
-    """Count the members of a set."""
-    one = z3.Extract
-    return z3.Sum([z3.BV2Int(one(i, i, bits)) for i in range(VOTERS)])
+def set_size(bits: z3.BitVecRef) -> z3.ArithRef:
+    """Return the number of members of a set."""
+    extract = z3.Extract
+    return z3.Sum([z3.BV2Int(extract(i, i, bits)) for i in range(MAX_VOTERS)])
 
 
 def disjoint_majorities(difference: int) -> z3.Solver:
-    """Look for configurations that differ by so much and can both decide."""
-    old, new, left, right = z3.BitVecs("old new left right", VOTERS)
+    """Return constraints for two configurations that can both reach a majority.
+
+    The configurations differ by at most `difference` members, and the majorities have
+    no member in common.
+    """
+    old, new, left, right = z3.BitVecs("old new left right", MAX_VOTERS)
     solver = z3.Solver()
-    solver.add(old != 0, new != 0, size(old ^ new) <= difference)
+    solver.add(old != 0, new != 0, set_size(old ^ new) <= difference)
     solver.add(left & ~old == 0, right & ~new == 0, left & right == 0)
-    solver.add(2 * size(left) > size(old), 2 * size(right) > size(new))
+    solver.add(2 * set_size(left) > set_size(old), 2 * set_size(right) > set_size(new))
     return solver
 
 
 def overlapping_leases(lease_ms: int, from_reply: bool) -> z3.Solver:
-    """Look for a vote that is given while the old lease holds.
-
-    The voter that both majorities share heard the leader's round, whose answer
-    the leader got. The lease ends by the leader's clock, the voter's patience
-    by its own; only their rates are known, not what they show.
+    """Return constraints for a vote that is granted while the old lease is valid.
+
+    The voter that both majorities have in common received the leader's round, and the
+    leader received its reply. The lease expires by the leader's clock, and the voter's
+    election timeout by its own clock. Only bounds of the clock rates are known, not
+    the readings.
+
+    Parameters
+    ----------
+    lease_ms : int
+        Duration of the lease.
+    from_reply : bool
+        Whether the lease starts when the reply arrives, not when the round is sent.
     """
-    sent, heard, answered, vote = z3.Reals("sent heard answered vote")
+    sent, received, answered, vote = z3.Reals("sent received answered vote")
     leader_rate, voter_rate = z3.Reals("leader_rate voter_rate")
     solver = z3.Solver()
-    solver.add(0 <= sent, sent <= heard, heard <= answered, heard <= vote)
+    solver.add(0 <= sent, sent <= received, received <= answered, received <= vote)
     for rate in (leader_rate, voter_rate):
-        solver.add(rate >= 1 - DRIFT, rate <= 1 + DRIFT)
-    start = answered if from_reply else sent
-    solver.add((vote - heard) * voter_rate >= Timing().election_ms)
-    solver.add((vote - start) * leader_rate < lease_ms)
+        solver.add(rate >= 1 - MAX_CLOCK_DRIFT, rate <= 1 + MAX_CLOCK_DRIFT)
+    lease_start = answered if from_reply else sent
+    solver.add((vote - received) * voter_rate >= Timing().election_ms)
+    solver.add((vote - lease_start) * leader_rate < lease_ms)
     return solver
 
 
 def facts() -> tuple[Fact, ...]:
-    """Return the facts; see docs/design/control-quorum.md."""
+    """Return all facts; see ``docs/design/control-quorum.md``."""
     timing = Timing()
     return (
         Fact("majorities_overlap", disjoint_majorities(1), disjoint_majorities(2)),
--- a/tests/test_check_spec.py
+++ b/tests/test_check_spec.py
@@ -1,11 +1,11 @@
 import pytest
 import z3
-from specs.check import run_apart
+from specs.check import run_in_subprocess
 from specs.claims_mutants import CLAIM_MUTANTS
 from specs.mutants import MUTANTS
 from specs.proofs import facts
 
-# `make check-spec` runs many more examples; these take a few seconds.
+# Takes a few seconds; `make check-spec` runs many more examples.
 EXAMPLES = 6
 QUICK_MUTANTS = (
     "forgets_vote",
@@ -19,29 +19,29 @@
 
 class TestReplicaSpec:
     def test_invariants_hold(self):
-        run = run_apart("replica", "", EXAMPLES)
-        assert not run.breach
+        run = run_in_subprocess("replica", "", EXAMPLES)
+        assert not run.violation
         assert run.steps > 1000
 
     @pytest.mark.parametrize("name", QUICK_MUTANTS)
-    def test_broken_variant_is_caught(self, name):
+    def test_mutant_is_caught(self, name):
         mutant = next(m for m in MUTANTS if m.name == name)
-        run = run_apart("replica", name, 4 * EXAMPLES)
-        assert run.breach.split(":")[0] in mutant.breaches
+        run = run_in_subprocess("replica", name, 4 * EXAMPLES)
+        assert run.violation.split(":")[0] in mutant.violated
 
 
 class TestClaimsSpec:
     def test_claim_runs_at_most_once(self):
-        assert not run_apart("claims", "", 10 * EXAMPLES).breach
+        assert not run_in_subprocess("claims", "", 10 * EXAMPLES).violation
 
     @pytest.mark.parametrize("mutant", CLAIM_MUTANTS, ids=lambda m: m.name)
-    def test_broken_variant_is_caught(self, mutant):
-        run = run_apart("claims", mutant.name, 50 * EXAMPLES)
-        assert run.breach.split(":")[0] in mutant.breaches
+    def test_mutant_is_caught(self, mutant):
+        run = run_in_subprocess("claims", mutant.name, 50 * EXAMPLES)
+        assert run.violation.split(":")[0] in mutant.violated
 
 
 class TestProofs:
     @pytest.mark.parametrize("fact", facts(), ids=lambda fact: fact.name)
-    def test_fact_is_proved_and_its_variant_refuted(self, fact):
-        assert fact.breach.check() == z3.unsat
+    def test_fact_is_proved_and_its_mutant_refuted(self, fact):
+        assert fact.violation.check() == z3.unsat
         assert fact.mutant.check() == z3.sat
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -32,7 +32,7 @@
 
     @property
     def followers(self):
-        return [n for n in self.up() if not n.replica.is_leader]
+        return [n for n in self.running_nodes() if not n.replica.is_leader]
 
     def commit(self, count=1):
         for _ in range(count):
@@ -46,7 +46,7 @@
 
 
 def revisions(cluster):
-    return [node.state.revision for node in cluster.up()]
+    return [node.state.revision for node in cluster.running_nodes()]
 
 
 class TestStartWithoutLeader:
@@ -56,7 +56,7 @@
         cluster.commit(3)
         for name in "abc":
             cluster.crash(name)
-        cluster.boot("a")
+        cluster.start_node("a")
         cluster.advance_ms(25)
         assert not cluster.leaders()
         assert revisions(cluster)[0] >= 2
@@ -64,14 +64,14 @@
     def test_uncommitted_synced_record_is_not_applied(self, cluster):
         cluster.commit(2)
         leader = cluster.leader
-        cluster.cut.add(leader.node_id)
+        cluster.isolated.add(leader.node_id)
         committed_revision = leader.state.revision
         leader.replica.propose(b"x")
-        cluster.turn(leader)
+        cluster.run_turn(leader)
         assert leader.disk.log.last_index > leader.replica.commit_index
         cluster.crash(leader.node_id)
-        cluster.boot(leader.node_id)
-        cluster.turn(leader)
+        cluster.start_node(leader.node_id)
+        cluster.run_turn(leader)
         assert leader.replica.commit_index < leader.disk.log.last_index
         assert leader.state.revision <= committed_revision
 
@@ -87,7 +87,7 @@
         cluster.crash(first)
         cluster.advance_ms(6000)
         cluster.commit()
-        cluster.boot(first)
+        cluster.start_node(first)
         cluster.advance_ms(3000)
         assert revisions(cluster) == [2, 2, 2]
 
@@ -110,7 +110,9 @@
         assert inflight == [MAX_INFLIGHT_APPENDS, MAX_INFLIGHT_APPENDS]
         cluster.advance_ms(1000)
         cluster.commit()
-        assert {n.replica.last_index for n in cluster.up()} == {leader.last_index}
+        assert {n.replica.last_index for n in cluster.running_nodes()} == {
+            leader.last_index
+        }
 
     def test_proposals_beyond_the_uncommitted_limit_are_refused(self, cluster):
         leader = cluster.leader.replica
@@ -137,7 +139,7 @@
             cluster.commit(100)
         cluster.compact(cluster.leader.node_id)
         assert cluster.leader.replica.log.records == []
-        cluster.boot(behind.node_id)
+        cluster.start_node(behind.node_id)
         cluster.advance_ms(3000)
         assert revisions(cluster) == [400, 400, 400]
         assert behind.disk.snapshot is not None
@@ -147,7 +149,7 @@
         cluster.crash(behind.node_id)
         cluster.commit(20)
         cluster.compact(leader.node_id)
-        cluster.boot(behind.node_id)
+        cluster.start_node(behind.node_id)
         while not behind.replica.snapshot_buffer:
             cluster.advance_ms(25)
         cluster.propose()
@@ -163,7 +165,7 @@
         name = cluster.followers[0].node_id
         cluster.compact(name)
         cluster.commit(5)
-        cluster.boot(name)
+        cluster.start_node(name)
         assert cluster.nodes[name].state.revision == 10
         cluster.advance_ms(3000)
         assert revisions(cluster) == [15, 15, 15]
@@ -172,7 +174,7 @@
 class TestLease:
     def test_isolated_leader_loses_its_lease_then_steps_down(self, cluster):
         first = cluster.leader
-        cluster.cut = {first.node_id}
+        cluster.isolated = {first.node_id}
         cluster.advance_ms(900)
         assert first.replica.lease_left_ms(cluster.clock(first)) == 0
         cluster.advance_ms(1000)
@@ -189,7 +191,7 @@
 
     def test_restarted_voter_waits_for_a_lease_it_may_have_acknowledged(self, cluster):
         voter = cluster.followers[0]
-        cluster.boot(voter.node_id)
+        cluster.start_node(voter.node_id)
         voter.replica.now_ms = cluster.clock(voter) + 900
         assert voter.replica.has_recent_leader()
 
@@ -210,11 +212,11 @@
 
     def test_election_is_fast_after_an_outage_of_all_instances(self, cluster):
         cluster.commit()
-        for node in cluster.up():
+        for node in cluster.running_nodes():
             cluster.crash(node.node_id)
         cluster.advance_ms(500)
         for name in ("a", "b", "c"):
-            cluster.boot(name)
+            cluster.start_node(name)
             replica = cluster.nodes[name].replica
             replica.leader_contact_ms -= 2000
             replica.schedule_early_election()
@@ -232,11 +234,11 @@
         cluster.commit()
         delays_ms = []
         for _ in range(20):
-            for node in cluster.up():
+            for node in cluster.running_nodes():
                 cluster.crash(node.node_id)
-            cluster.boot("a")
+            cluster.start_node("a")
             cluster.advance_ms(300)
-            cluster.boot("b")
+            cluster.start_node("b")
             cluster.advance_ms(1000)
             start_ms = cluster.now_ms
             while not cluster.leaders():
@@ -275,7 +277,7 @@
         cluster.commit(5)
         first, second = cluster.followers
         cluster.replace_disk(first.node_id)
-        while not first.replica.is_voter or not cluster.may_lose_disk():
+        while not first.replica.is_voter or not cluster.can_lose_disk():
             cluster.advance_ms(25)
         cluster.crash(second.node_id)
         cluster.commit()
@@ -287,7 +289,7 @@
     def with_spare(self, cluster):
         """Start a fourth instance in a cluster with three desired voters."""
         cluster.replace_disk("d")
-        for node in cluster.up():
+        for node in cluster.running_nodes():
             node.replica.desired_voters = 3
         cluster.advance_ms(3000)
         return cluster
@@ -310,7 +312,7 @@
         assert "d" in members.voters and lost not in members.voters
         # Its disk identity is kept, so that it may come back as a learner.
         assert lost in members.learners
-        cluster.boot(lost)
+        cluster.start_node(lost)
         cluster.nodes[lost].replica.desired_voters = 3
         cluster.advance_ms(3000)
         cluster.commit()
@@ -345,11 +347,11 @@
 
     def test_change_waits_for_the_previous_one_and_needs_a_majority(self, cluster):
         leader, (first, second) = cluster.leader, cluster.followers
-        cluster.cut = {leader.node_id}
+        cluster.isolated = {leader.node_id}
         assert leader.replica.remove_member(first.node_id)
         assert leader.replica.remove_member(second.node_id) is None
         cluster.advance_ms(1500)
-        cluster.cut = set()
+        cluster.isolated = set()
         cluster.advance_ms(5000)
         cluster.crash(first.node_id)
         cluster.advance_ms(1500)
@@ -359,11 +361,11 @@
     def test_uncommitted_change_is_reverted_with_its_record(self, cluster):
         leader = cluster.leader
         before = leader.replica.members
-        cluster.cut = {leader.node_id}
+        cluster.isolated = {leader.node_id}
         leader.replica.remove_member(cluster.followers[0].node_id)
         assert leader.replica.members != before
         cluster.advance_ms(4000)
-        cluster.cut = set()
+        cluster.isolated = set()
         cluster.advance_ms(4000)
         assert leader.replica.members == before
 
@@ -374,13 +376,13 @@
         cluster.crash(second.node_id)
         cluster.crash(cluster.leader.node_id)
         first.disk, old_disk = Disk("empty", Members({})), first.disk
-        cluster.boot(first.node_id)
+        cluster.start_node(first.node_id)
         cluster.advance_ms(10_000)
         assert cluster.leaders() == []
-        cluster.boot(second.node_id)
+        cluster.start_node(second.node_id)
         cluster.advance_ms(10_000)
         assert cluster.leaders() == []
         first.disk = old_disk
-        cluster.boot(first.node_id)
+        cluster.start_node(first.node_id)
         cluster.advance_ms(6000)
         assert len(cluster.leaders()) == 1
