--- a/bench/burst.py
+++ b/bench/burst.py
@@ -1,8 +1,8 @@
-"""Burst over real processes on loopback, with the brief's link rates.
+"""Bursts of new versions over real processes on loopback: ``make bench-burst``.
 
-In one window W the origin's link carries four copies and each instance's two,
-up and down together. The sidecars' own link budget is the limiter of both; the
-baselines run under the same one.
+Within one window, the origin's link can carry four copies of a version, and the
+link of each instance two, both directions together. The link budget of the sidecars
+enforces both limits; the baselines use the same link budget.
 """
 
 import argparse
@@ -24,32 +24,32 @@
 from tests import fleet as fleet_module
 from tests.fleet import Fleet
 
-from bench.virtual_burst import bound
+from bench.virtual_burst import min_windows
 
 SIZE_BYTES = 8 << 20
 CHUNKS = 128
 WINDOW_S = 10.0
-LINK = 2 * SIZE_BYTES / WINDOW_S
-ORIGIN = 4 * SIZE_BYTES / WINDOW_S
+LINK_BYTES_PER_S = 2 * SIZE_BYTES / WINDOW_S
+ORIGIN_BYTES_PER_S = 4 * SIZE_BYTES / WINDOW_S
 DOMAINS = ("palermo", "catania", "agrigento")
 POLICIES = ("origin_bytes", "time_to_replicas")
 OWNER = "aste-riunite-trinacria"
 SERVICE = "report-writing"
-COPY_LIMIT_S = 8 * WINDOW_S
-KILLED_SHARE = 0.05
+DOWNLOAD_TIMEOUT_S = 8 * WINDOW_S
+KILLED_FRACTION = 0.05
 CORRUPT_EVERY = 100
 LIVE_WORKERS = 8
 LIVE_BEFORE_S = 8.0
-# A worker's pause between answers: a third of the slots is busy, as on a day
-# without trouble, so that queueing does not hide the burst's own cost.
+# Pause of a worker between requests. A third of the slots is busy, as in normal
+# operation, so that queueing does not hide the cost of the burst itself.
 LIVE_PAUSE_S = 0.05
 
 
-def low_ports() -> Iterator[int]:
-    """Yield free ports below those that the system gives to outgoing links.
+def low_free_ports() -> Iterator[int]:
+    """Yield free ports below the range that the system assigns to outgoing connections.
 
-    With some hundred processes, a port that was free a moment ago is else taken
-    by a connection before its listener starts.
+    Otherwise, with some hundred processes, a connection can take a port that was
+    free a moment ago before its listener starts.
     """
     for port in range(10_000 + os.getpid() % 8_000, 32_000):
         with socket.socket() as probe:
@@ -61,11 +61,11 @@
         yield port
 
 
-fleet_module.free_port = low_ports().__next__
+fleet_module.free_port = low_free_ports().__next__
 
 
 class Burst:
-    """One fleet with bursts of versions."""
+    """One fleet on which bursts of new versions are measured."""
 
     def __init__(self, nodes: int, folder: Path, corrupt_every: int = 0):
         self.nodes = nodes
@@ -75,26 +75,26 @@
         self.names = [f"node-{number}" for number in range(nodes)]
 
     async def start(self, entry: bool = False) -> None:
-        """Start control, the origin and every target."""
+        """Start the origin, the control instances and every target."""
         fleet = self.fleet
-        fleet.start_origin(ORIGIN, self.corrupt_every)
+        fleet.start_origin(ORIGIN_BYTES_PER_S, self.corrupt_every)
         fleet.start_control(list(DOMAINS))
         for number, name in enumerate(self.names):
             fleet.start_target(
                 name,
                 DOMAINS[number % 3],
                 SERVICE,
-                link_bytes_per_s=int(LINK),
+                link_bytes_per_s=int(LINK_BYTES_PER_S),
                 drain_ms=30_000,
             )
         if entry:
             fleet.start_entry("entry-0", DOMAINS[0])
         await fleet.wait_ready(["control-1", "control-2", "control-3"])
-        # Links between neighbours settle before the clock starts.
+        # Let the links between neighbours open before the measurement starts.
         await asyncio.sleep(2 + self.nodes / 10)
 
     def apply(self, distribution: str) -> tuple[str, float]:
-        """Publish a version and name it in the catalogue; return when."""
+        """Publish a version and apply it; return it with the time of the apply."""
         self.seed += 1
         chunk = SIZE_BYTES // CHUNKS
         version = self.fleet.publish(self.seed, SIZE_BYTES, chunk)
@@ -110,12 +110,12 @@
             "max_unavailable": max(1, self.nodes // 12),
         }
         (folder / "reports.json").write_text(json.dumps(entry))
-        begun_s = time.time()
+        started_s = time.time()
         self.fleet.apply(folder, OWNER)
-        return version, begun_s
+        return version, started_s
 
-    def finished(self, version: str) -> dict[str, float]:
-        """Return when each instance held the version whole."""
+    def completion_times(self, version: str) -> dict[str, float]:
+        """Return when each instance had downloaded the complete version."""
         times = {}
         for name in self.names:
             text = self.fleet.nodes[name].process.log.read_text()
@@ -124,21 +124,25 @@
                     times[name] = json.loads(line)["finished_at"]
         return times
 
-    async def wait_copied(self, version: str, names: set[str], begun_s: float) -> float:
-        """Wait until all `names` hold the version; return the seconds."""
+    async def wait_downloaded(
+        self, version: str, names: set[str], started_s: float
+    ) -> float:
+        """Wait until all `names` hold the version; return the seconds it took."""
         while True:
-            times = self.finished(version)
+            times = self.completion_times(version)
             if names <= times.keys():
-                return max(times[name] for name in names) - begun_s
-            if time.time() - begun_s > COPY_LIMIT_S:
+                return max(times[name] for name in names) - started_s
+            if time.time() - started_s > DOWNLOAD_TIMEOUT_S:
                 missing = sorted(names - times.keys())
                 log = self.fleet.nodes[missing[0]].process.log.read_text()[-3000:]
-                raise RuntimeError(f"{len(missing)} not copied; {missing[0]}: {log}")
+                raise RuntimeError(
+                    f"{len(missing)} instances lack the version; {missing[0]}: {log}"
+                )
             await asyncio.sleep(0.2)
 
     async def wait_loaded(self, version: str, names: set[str]) -> None:
         """Wait until the engines of `names` have loaded the version."""
-        deadline = time.time() + COPY_LIMIT_S
+        deadline = time.time() + DOWNLOAD_TIMEOUT_S
         while time.time() < deadline:
             loaded = {
                 record["engine"]
@@ -151,7 +155,7 @@
         raise RuntimeError(f"{len(names - loaded)} engines have not loaded {version}")
 
     def origin_copies(self, version: str) -> float:
-        """Return the bytes that the origin sent of a version, in copies."""
+        """Return the bytes of a version that the origin sent, in complete copies."""
         sent = sum(
             record["bytes"]
             for record in self.fleet.records("origin")
@@ -160,8 +164,8 @@
         return sent / SIZE_BYTES
 
     async def measure(self, distribution: str, killed: int = 0) -> dict[str, object]:
-        """Run one burst."""
-        version, begun_s = self.apply(distribution)
+        """Run one burst and return its figures."""
+        version, started_s = self.apply(distribution)
         names = set(self.names)
         if killed:
             await asyncio.sleep(WINDOW_S / 3)
@@ -169,30 +173,30 @@
                 self.fleet.nodes[name].process.kill()
                 names.discard(name)
                 self.names.remove(name)
-        seconds = await self.wait_copied(version, names, begun_s)
+        seconds = await self.wait_downloaded(version, names, started_s)
         await self.wait_loaded(version, names)
-        least_s = bound(self.nodes, distribution) * WINDOW_S
+        bound_s = min_windows(self.nodes, distribution) * WINDOW_S
         return {
             "nodes": self.nodes,
             "policy": distribution,
             "killed": killed,
             "corrupt_every": self.corrupt_every,
             "seconds": round(seconds, 2),
-            "bound_seconds": round(least_s, 2),
-            "ratio_to_bound": round(seconds / least_s, 3),
+            "bound_seconds": round(bound_s, 2),
+            "ratio_to_bound": round(seconds / bound_s, 3),
             "origin_copies": round(self.origin_copies(version), 3),
-            "all_serving_seconds": round(time.time() - begun_s, 1),
+            "all_serving_seconds": round(time.time() - started_s, 1),
         }
 
 
 def start_baselines(nodes: int) -> subprocess.Popen:
-    """Start the baselines beside a burst."""
+    """Start the baselines in a process of their own."""
     options = {
         "nodes": nodes,
         "size": SIZE_BYTES,
         "chunk": SIZE_BYTES // CHUNKS,
-        "link": LINK,
-        "origin": ORIGIN,
+        "link": LINK_BYTES_PER_S,
+        "origin": ORIGIN_BYTES_PER_S,
     }
     command = [sys.executable, "-m", "bench.baselines"]
     command += [
@@ -202,7 +206,7 @@
 
 
 async def run_size(nodes: int, baselines: bool) -> list[dict[str, object]]:
-    """Measure both policies, and the baselines in the same run."""
+    """Measure both policies, with the baselines in the same run."""
     folder = Path(tempfile.mkdtemp(prefix="burst-"))
     burst = Burst(nodes, folder)
     process = None
@@ -214,11 +218,11 @@
         burst.fleet.stop()
         shutil.rmtree(folder, ignore_errors=True)
     if process is not None:
-        others = json.loads(process.communicate()[0])
+        baseline_times = json.loads(process.communicate()[0])
         for result in results:
-            result |= others
+            result |= baseline_times
             for name in ("naive", "tree"):
-                speedup = others[f"{name}_seconds"] / result["seconds"]
+                speedup = baseline_times[f"{name}_seconds"] / result["seconds"]
                 result[f"speedup_over_{name}"] = round(speedup, 2)
     return results
 
@@ -231,7 +235,7 @@
         burst = Burst(nodes, folder, CORRUPT_EVERY)
         try:
             await burst.start()
-            killed = math.ceil(nodes * KILLED_SHARE)
+            killed = math.ceil(nodes * KILLED_FRACTION)
             results.append(await burst.measure(policy, killed))
         finally:
             burst.fleet.stop()
@@ -240,44 +244,44 @@
 
 
 class LiveLoad:
-    """Callers that send requests all the while."""
+    """Callers that send requests during a burst."""
 
     def __init__(self, url: str):
         self.url = url
         self.latencies: list[tuple[float, float]] = []
         self.failures = 0
 
-    async def work(self, session: aiohttp.ClientSession, number: int) -> None:
-        """Send one request after the other."""
+    async def send_requests(self, session: aiohttp.ClientSession, number: int) -> None:
+        """Send requests one after the other until cancelled."""
         while True:
-            begun_s = time.time()
+            started_s = time.time()
             body = {"model": "condition-reports", "prompt": f"p{number}"}
             headers = {"X-Client-Account": f"dealer-{number}"}
-            async with session.post(self.url, json=body, headers=headers) as answer:
-                await answer.read()
-                self.failures += answer.status != 200
-            if answer.status == 200:
-                self.latencies.append((begun_s, time.time() - begun_s))
+            async with session.post(self.url, json=body, headers=headers) as response:
+                await response.read()
+                self.failures += response.status != 200
+            if response.status == 200:
+                self.latencies.append((started_s, time.time() - started_s))
             await asyncio.sleep(LIVE_PAUSE_S)
 
     def p95(self, start_s: float, end_s: float) -> float:
-        """Return the 95th percentile of whole answers in a span, in seconds.
+        """Return the 95th percentile of complete responses in a time span, in seconds.
 
-        Not a number when none was whole: a refusal is quick, but no answer.
+        Return NaN if there was none. Refusals are fast and are not counted.
         """
-        chosen = sorted(t for at, t in self.latencies if start_s <= at < end_s)
-        return chosen[int(len(chosen) * 0.95)] if chosen else math.nan
+        durations = sorted(t for at, t in self.latencies if start_s <= at < end_s)
+        return durations[int(len(durations) * 0.95)] if durations else math.nan
 
 
 async def run_live(nodes: int) -> list[dict[str, object]]:
-    """Measure live requests before, during the copy and during the switch."""
+    """Measure live requests before a burst, during the download and the switch."""
     folder = Path(tempfile.mkdtemp(prefix="burst-"))
     burst = Burst(nodes, folder)
     try:
         await burst.start(entry=True)
         names = set(burst.names)
-        version, begun_s = burst.apply(POLICIES[1])
-        await burst.wait_copied(version, names, begun_s)
+        version, started_s = burst.apply(POLICIES[1])
+        await burst.wait_downloaded(version, names, started_s)
         await burst.wait_loaded(version, names)
         await asyncio.sleep(2)
         return [await live_burst(burst, policy) for policy in POLICIES]
@@ -291,41 +295,41 @@
     load = LiveLoad(burst.fleet.nodes["entry-0"].http + "/v1/completions")
     async with aiohttp.ClientSession() as session:
         tasks = [
-            asyncio.create_task(load.work(session, number))
+            asyncio.create_task(load.send_requests(session, number))
             for number in range(LIVE_WORKERS)
         ]
         start_s = time.time()
         await asyncio.sleep(LIVE_BEFORE_S)
-        # Applying blocks this loop for the command's run: it is left out.
-        before_s = time.time()
-        version, begun_s = await asyncio.to_thread(burst.apply, policy)
+        # Applying blocks this event loop while the command runs; not measured.
+        applying_s = time.time()
+        version, started_s = await asyncio.to_thread(burst.apply, policy)
         names = set(burst.names)
-        seconds = await burst.wait_copied(version, names, begun_s)
-        copied_s = begun_s + seconds
+        seconds = await burst.wait_downloaded(version, names, started_s)
+        downloaded_s = started_s + seconds
         await burst.wait_loaded(version, names)
         end_s = time.time()
         for task in tasks:
             task.cancel()
-        failed = [t for t in await asyncio.gather(*tasks, return_exceptions=True)]
-    first = min(burst.finished(version).values())
-    before = load.p95(start_s, before_s)
-    during = load.p95(begun_s, first)
+        results = [t for t in await asyncio.gather(*tasks, return_exceptions=True)]
+    first = min(burst.completion_times(version).values())
+    before = load.p95(start_s, applying_s)
+    during = load.p95(started_s, first)
     return {
         "live": policy,
         "nodes": burst.nodes,
         "whole_answers": len(load.latencies),
         "failures": load.failures
-        + sum(isinstance(f, aiohttp.ClientError) for f in failed),
+        + sum(isinstance(f, aiohttp.ClientError) for f in results),
         "p95_before_ms": round(before * 1000, 2),
         "p95_copy_ms": None if math.isnan(during) else round(during * 1000, 2),
         "p95_ratio": None if math.isnan(during) else round(during / before, 3),
         "p95_switch_ms": round(load.p95(first, end_s) * 1000, 2),
-        "copy_seconds": round(copied_s - begun_s, 2),
+        "copy_seconds": round(downloaded_s - started_s, 2),
     }
 
 
 async def run(args: argparse.Namespace) -> dict[str, object]:
-    """Run the parts that are asked for."""
+    """Run the requested parts."""
     output: dict[str, object] = {
         "window_seconds": WINDOW_S,
         "size_bytes": SIZE_BYTES,
@@ -342,7 +346,7 @@
 
 
 def main() -> int:
-    """Run the bench; without options, the whole of it."""
+    """Run the parts selected by the options; without options, run all."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--nodes", type=int, nargs="*")
     parser.add_argument("--faults", type=int, default=0)
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,7 +1,7 @@
-"""The control quorum on real processes: ``make bench-control``.
+"""Benchmark of the control quorum on real processes: ``make bench-control``.
 
-Three control instances and 60 watching nodes. Every figure of the JSON line
-comes from this one run; times are milliseconds, rates a second.
+Runs three control instances and 60 watching nodes. Every figure of the JSON line
+comes from this run; times are in milliseconds, rates per second.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from tests.fakes.records import read_records
 from tests.fleet import Fleet, Node, Process
 
-from bench.control_load import TOKEN, Acknowledged, Changer, Claimer
+from bench.control_load import TOKEN, AcknowledgedChange, Changer, Claimer
 from wisteriapulley.settings import ControlSettings
 
 DOMAINS = ["galway", "swords", "belfast"]
@@ -33,30 +33,30 @@
 THROUGHPUT_S = 3.0
 CHANGERS = 48
 CLAIMS_IN_FLIGHT = 192
-IDLE_S = 8.0
-FROZEN_S = 1.5
-READY_S = 20.0
+IDLE_PERIOD_S = 8.0
+FREEZE_DURATION_S = 1.5
+READY_TIMEOUT_S = 20.0
 DAY_S = 86_400
-CHANGES_A_DAY = 640
-# The defaults of a daemon, not the shorter ones of the tests.
-BEATS = {"heartbeat_ms": 1000, "silence_ms": 3000}
+CHANGES_PER_DAY = 640
+# The defaults of the daemons; the tests use shorter ones.
+HEARTBEAT_SETTINGS = {"heartbeat_ms": 1000, "silence_ms": 3000}
 
 
 class Bench:
-    """One fleet and what is measured on it."""
+    """One fleet and the measurements on it."""
 
     def __init__(self, folder: Path, **control: object):
         self.fleet = Fleet(folder)
-        self.fleet.start_control(DOMAINS, **BEATS, **control)
+        self.fleet.start_control(DOMAINS, **HEARTBEAT_SETTINGS, **control)
         self.watchers: dict[str, Process] = {}
         self.session: aiohttp.ClientSession | None = None
-        self.checked: set[str] = set()
-        self.lost: set[tuple[str, str]] = set()
+        self.checked_change_ids: set[str] = set()
+        self.lost_changes: set[tuple[str, str]] = set()
 
     # -- processes -------------------------------------------------------
 
     @property
-    def controls(self) -> list[Node]:
+    def control_nodes(self) -> list[Node]:
         """Control instances."""
         return [self.fleet.nodes[s["node_id"]] for s in self.fleet.controls]
 
@@ -68,7 +68,9 @@
     def start_watcher(self, name: str, domain: str) -> None:
         """Start one watching node."""
         wires = self.fleet.control_wire_addresses
-        settings = self.fleet.common_settings(name, domain, control=wires, **BEATS)
+        settings = self.fleet.common_settings(
+            name, domain, control=wires, **HEARTBEAT_SETTINGS
+        )
         path = self.fleet.folder / "settings" / f"{name}.json"
         path.write_text(json.dumps(settings))
         records = self.fleet.folder / "records" / f"{name}.jsonl"
@@ -76,7 +78,7 @@
         self.watchers[name] = self.fleet.start_process(name, command)
         self.fleet.fakes[name] = self.watchers[name]
 
-    def watched(self, kind: str) -> Iterator[tuple[str, list[dict]]]:
+    def records_by_watcher(self, kind: str) -> Iterator[tuple[str, list[dict]]]:
         """Yield each watcher's records of one kind."""
         for name in self.watchers:
             yield name, [r for r in self.records(name) if r["kind"] == kind]
@@ -86,7 +88,7 @@
         return read_records(str(self.fleet.folder / "records" / f"{name}.jsonl"))
 
     async def status(self, node: Node) -> dict | None:
-        """Return an instance's status, or None when it does not answer."""
+        """Return an instance's status, or None if it does not respond."""
         try:
             timeout = aiohttp.ClientTimeout(total=1.0)
             url = f"{node.http}/v1/status"
@@ -95,43 +97,45 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             return None
 
-    async def read(self, node: Node, page: str) -> object:
-        """Read a page that a quorum confirms, trying until it answers."""
-        deadline = time.monotonic() + READY_S
+    async def read(self, node: Node, path: str) -> object:
+        """Read a path that a quorum confirms; retry until there is a response."""
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             try:
-                async with self.session.get(f"{node.http}{page}") as response:
+                async with self.session.get(f"{node.http}{path}") as response:
                     if response.status == 200:
                         return await response.json()
             except (aiohttp.ClientError, TimeoutError, OSError):
                 pass
             await asyncio.sleep(0.02)
-        raise RuntimeError(f"{node.http}{page} gave no answer")
+        raise RuntimeError(f"{node.http}{path} did not respond")
 
     async def leader(self) -> Node:
-        """Return the instance that a majority says leads."""
+        """Return the instance that a majority reports as leader."""
         while True:
-            said = [await self.status(node) for node in self.controls]
-            names = [status["leader"] for status in said if status]
+            statuses = [await self.status(node) for node in self.control_nodes]
+            names = [status["leader"] for status in statuses if status]
             for name in set(names):
-                if name and names.count(name) > len(self.controls) // 2:
+                if name and names.count(name) > len(self.control_nodes) // 2:
                     return self.fleet.nodes[name]
             await asyncio.sleep(0.02)
 
     async def wait_watchers(self, revision: int) -> None:
         """Wait until all watchers have a revision in force."""
-        deadline = time.monotonic() + READY_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
-            found = [records[-1:] for _, records in self.watched("revision")]
-            if all(r and r[0]["revision"] >= revision for r in found):
+            latest = [
+                records[-1:] for _, records in self.records_by_watcher("revision")
+            ]
+            if all(r and r[0]["revision"] >= revision for r in latest):
                 return
             await asyncio.sleep(0.2)
-        raise RuntimeError(f"not every watcher has revision {revision}")
+        raise RuntimeError(f"not all watchers have revision {revision}")
 
     # -- throughput ------------------------------------------------------
 
     async def throughput(self) -> dict:
-        """Measure changes and claims a second, each alone."""
+        """Measure changes per second, then claims per second."""
         changers = [Changer(self.fleet, self.session, f"e{n}") for n in range(CHANGERS)]
         start = time.monotonic()
         await asyncio.gather(*(c.run(start + THROUGHPUT_S) for c in changers))
@@ -143,8 +147,12 @@
             while claimer.control.connection.open_link is None:
                 await asyncio.sleep(0.02)
         start = time.monotonic()
-        share = CLAIMS_IN_FLIGHT // len(claimers)
-        runs = [c.run(start + THROUGHPUT_S) for c in claimers for _ in range(share)]
+        claims_per_claimer = CLAIMS_IN_FLIGHT // len(claimers)
+        runs = [
+            c.run(start + THROUGHPUT_S)
+            for c in claimers
+            for _ in range(claims_per_claimer)
+        ]
         await asyncio.gather(*runs)
         claims = sum(len(c.acknowledged) for c in claimers)
         claims_per_second = claims / (time.monotonic() - start)
@@ -158,22 +166,22 @@
     # -- propagation -----------------------------------------------------
 
     async def propagation(self) -> dict:
-        """Measure the time from an operator's send to force at every watcher."""
+        """Measure the time from the send of a change until all watchers apply it."""
         changer = Changer(self.fleet, self.session, "propagated")
-        before = await self.costs()
-        await asyncio.sleep(IDLE_S)
-        idle = cost_rates(before, await self.costs())
-        before = await self.costs()
+        before = await self.read_costs()
+        await asyncio.sleep(IDLE_PERIOD_S)
+        idle = cost_rates(before, await self.read_costs())
+        before = await self.read_costs()
         for _ in range(CHANGES):
             await changer.change()
             await asyncio.sleep(CHANGE_PAUSE_S)
         await self.wait_watchers(changer.revision)
-        busy = cost_rates(before, await self.costs())
-        times = sorted(self.times_in_force(changer.acknowledged))
-        traffic = self.traffic()
+        busy = cost_rates(before, await self.read_costs())
+        times = sorted(self.propagation_times(changer.acknowledged))
+        watching_nodes = self.count_watchers_with_stats()
         change_bytes = (busy["node_bytes"] - idle["node_bytes"]) * busy["seconds"]
         change_bytes /= CHANGES
-        daily = idle["node_bytes"] + change_bytes * CHANGES_A_DAY / DAY_S
+        daily = idle["node_bytes"] + change_bytes * CHANGES_PER_DAY / DAY_S
         return {
             "apply_to_in_force_ms": {
                 "p50": round(1000 * statistics.median(times), 1),
@@ -181,7 +189,7 @@
                 "max": round(1000 * times[-1], 1),
             },
             "changes_measured": len(times),
-            "watching_nodes": traffic,
+            "watching_nodes": watching_nodes,
             "node_bytes_per_second_idle": round(idle["node_bytes"]),
             "node_bytes_per_change": round(change_bytes),
             "node_bytes_per_second": round(daily),
@@ -189,9 +197,9 @@
             "control_core_percent": round(idle["control_core"], 2),
         }
 
-    def times_in_force(self, changes: list[Acknowledged]) -> Iterator[float]:
-        """Yield for each change when the last watcher had it, since its send."""
-        revisions = [records for _, records in self.watched("revision")]
+    def propagation_times(self, changes: list[AcknowledgedChange]) -> Iterator[float]:
+        """Yield for each change the seconds from its send to the last watcher."""
+        revisions = [records for _, records in self.records_by_watcher("revision")]
         for change in changes:
             yield max(
                 next(r["at"] for r in records if r["revision"] >= change.revision)
@@ -199,25 +207,28 @@
                 for records in revisions
             )
 
-    def traffic(self) -> int:
-        """Count the watchers that recorded link traffic."""
-        return sum(bool(records) for _, records in self.watched("stats"))
+    def count_watchers_with_stats(self) -> int:
+        """Return the number of watchers that recorded link traffic."""
+        return sum(bool(records) for _, records in self.records_by_watcher("stats"))
 
-    async def costs(self) -> dict:
-        """Read what nodes and control instances have spent so far."""
-        carried = [records[-1] for _, records in self.watched("stats") if records]
+    async def read_costs(self) -> dict:
+        """Return the bytes and processor time that nodes and control instances used."""
+        latest_stats = [
+            records[-1] for _, records in self.records_by_watcher("stats") if records
+        ]
         return {
             "at": time.monotonic(),
-            "bytes": statistics.mean(r["bytes"] for r in carried),
-            "bytes_at": statistics.mean(r["at"] for r in carried),
+            "bytes": statistics.mean(r["bytes"] for r in latest_stats),
+            "bytes_at": statistics.mean(r["at"] for r in latest_stats),
             "node": cpu_s(self.watchers.values()) / len(self.watchers),
-            "control": cpu_s(n.process for n in self.controls) / len(self.controls),
+            "control": cpu_s(n.process for n in self.control_nodes)
+            / len(self.control_nodes),
         }
 
     # -- failover --------------------------------------------------------
 
     async def failover(self) -> dict:
-        """Kill and freeze leaders under load; read back what was acknowledged."""
+        """Kill and freeze leaders under load; check all acknowledged changes."""
         changer = Changer(self.fleet, self.session, "failover")
         claimer = Claimer.from_fleet(self.fleet, "failover")
         claimer.control.start()
@@ -227,20 +238,20 @@
         ]
         times: dict[bool, list[float]] = {False: [], True: []}
         for freeze in [False] * KILLS + [True] * FREEZES:
-            times[freeze].append(await self.lose_leader(changer, freeze))
+            times[freeze].append(await self.fail_leader(changer, freeze))
             await self.read_back(changer)
         kills, freezes = times[False], times[True]
         for task in writing:
             task.cancel()
         await asyncio.gather(*writing, return_exceptions=True)
         await self.read_back(changer)
-        lost = len(self.lost) + await claimer.missing()
+        lost = len(self.lost_changes) + await claimer.count_lost_claims()
         await claimer.control.stop()
-        both = sorted([*kills, *freezes])
+        all_times = sorted([*kills, *freezes])
         return {
             "failover_ms": {
-                "p50": round(1000 * statistics.median(both)),
-                "max": round(1000 * both[-1]),
+                "p50": round(1000 * statistics.median(all_times)),
+                "max": round(1000 * all_times[-1]),
                 "kills_max": round(1000 * max(kills)),
                 "freezes_max": round(1000 * max(freezes)),
             },
@@ -249,25 +260,26 @@
             "acknowledged_changes": len(changer.acknowledged),
             "acknowledged_claims": len(claimer.acknowledged),
             "unanswered_claims": claimer.unanswered,
-            "refused_changes": len(changer.faults),
+            "refused_changes": len(changer.refused_results),
             "lost_acknowledged": lost,
             "reverted": self.reverted(),
         }
 
-    async def lose_leader(self, changer: Changer, freeze: bool) -> float:
-        """Take the leader away; return seconds to a commit sent after that."""
+    async def fail_leader(self, changer: Changer, freeze: bool) -> float:
+        """Kill or freeze the leader; return the seconds to the next new commit."""
         node = await self.leader()
-        lost_at = time.monotonic()
+        failed_at = time.monotonic()
         node.process.signal(signal.SIGSTOP if freeze else signal.SIGKILL)
-        while not any(a.answered_at > lost_at for a in changer.acknowledged[-1:]):
+        while not any(a.answered_at > failed_at for a in changer.acknowledged[-1:]):
             await asyncio.sleep(0.005)
-        # One answer may still come from before; the next change was sent after.
+        # One response may belong to a change sent before the failure; the next change
+        # is sent after it.
         count = len(changer.acknowledged)
         while len(changer.acknowledged) <= count:
             await asyncio.sleep(0.005)
-        seconds = changer.acknowledged[count].answered_at - lost_at
+        seconds = changer.acknowledged[count].answered_at - failed_at
         if freeze:
-            await asyncio.sleep(FROZEN_S)
+            await asyncio.sleep(FREEZE_DURATION_S)
             node.process.signal(signal.SIGCONT)
         else:
             node.process.popen.wait()
@@ -276,38 +288,41 @@
         return seconds
 
     async def wait_caught_up(self, node: Node, revision: int) -> None:
-        """Wait until an instance has applied a revision and knows the leader."""
-        deadline = time.monotonic() + READY_S
+        """Wait until an instance has applied a revision and has a leader."""
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             status = await self.status(node)
             if status and status["leader"] and status["revision"] >= revision:
                 return
             await asyncio.sleep(0.005)
-        raise RuntimeError(f"{node.process.name} does not catch up with {revision}")
+        raise RuntimeError(
+            f"{node.process.name} did not catch up with revision {revision}"
+        )
 
     async def read_back(self, changer: Changer) -> None:
-        """Note acknowledged changes that an instance does not show.
+        """Record the acknowledged changes that an instance does not return.
 
-        The history is bounded, so each change is looked up after the leader
-        loss that it met, and again as long as the history reaches back to it.
+        The history is bounded, so each change is checked after the next leader
+        failure, and again as long as the history still holds it.
         """
         acknowledged = tuple(changer.acknowledged)
-        for node in self.controls:
+        for node in self.control_nodes:
             history = await self.read(node, "/v1/catalogue/history")
-            shown = {row["change_id"]: row["revision"] for row in history}
-            oldest = min(shown.values())
-            self.lost |= {
-                (node.process.name, done.change_id)
-                for done in acknowledged
-                if done.revision >= oldest or done.change_id not in self.checked
-                if shown.get(done.change_id) != done.revision
+            revisions_by_change = {row["change_id"]: row["revision"] for row in history}
+            oldest = min(revisions_by_change.values())
+            self.lost_changes |= {
+                (node.process.name, change.change_id)
+                for change in acknowledged
+                if change.revision >= oldest
+                or change.change_id not in self.checked_change_ids
+                if revisions_by_change.get(change.change_id) != change.revision
             }
-        self.checked |= {done.change_id for done in acknowledged}
+        self.checked_change_ids |= {change.change_id for change in acknowledged}
 
     def reverted(self) -> int:
-        """Count the revisions that went down at any watcher."""
+        """Return how often a revision did not increase at a watcher."""
         count = 0
-        for _, records in self.watched("revision"):
+        for _, records in self.records_by_watcher("revision"):
             revisions = [record["revision"] for record in records]
             count += sum(b <= a for a, b in zip(revisions, revisions[1:], strict=False))
         return count
@@ -315,9 +330,9 @@
     # -- restart and memory ----------------------------------------------
 
     async def restart(self) -> dict:
-        """Restart an instance that missed 1,000 changes, and a node."""
+        """Restart an instance that missed 1,000 changes, then a watching node."""
         leader = await self.leader()
-        node = next(n for n in self.controls if n is not leader)
+        node = next(n for n in self.control_nodes if n is not leader)
         node.process.kill()
         changer = Changer(self.fleet, self.session, "restart")
         for _ in range(RESTART_CHANGES):
@@ -332,20 +347,26 @@
         watcher.start()
         await self.wait_watchers(changer.revision)
         records = self.records("watcher-0")
-        back = [r for r in records if r["kind"] == "revision" and r["at"] > started]
+        after_restart = [
+            r for r in records if r["kind"] == "revision" and r["at"] > started
+        ]
         return {
             "restart_ms": round(1000 * control_s),
-            "node_restart_ms": round(1000 * (back[0]["at"] - started)),
-            "node_restart_below": sum(r["revision"] < changer.revision for r in back),
+            "node_restart_ms": round(1000 * (after_restart[0]["at"] - started)),
+            "node_restart_below": sum(
+                r["revision"] < changer.revision for r in after_restart
+            ),
         }
 
     async def memory(self) -> dict:
-        """Measure each role's resident memory, idle but for heartbeats."""
-        self.fleet.start_entry("entry-1", DOMAINS[0], **BEATS)
-        self.fleet.start_target("plain-1", DOMAINS[0], "print-proof", "plain", **BEATS)
+        """Measure the resident memory of each role, idle except for heartbeats."""
+        self.fleet.start_entry("entry-1", DOMAINS[0], **HEARTBEAT_SETTINGS)
+        self.fleet.start_target(
+            "plain-1", DOMAINS[0], "print-proof", "plain", **HEARTBEAT_SETTINGS
+        )
         await self.fleet.wait_ready(["entry-1"])
         await asyncio.sleep(1)
-        controls = max(n.process.resident_bytes() for n in self.controls)
+        controls = max(n.process.resident_bytes() for n in self.control_nodes)
         return {
             "control_resident_bytes": controls,
             "entry_resident_bytes": self.resident("entry-1"),
@@ -371,7 +392,7 @@
 
 
 def cost_rates(before: dict, after: dict) -> dict:
-    """Turn two readings into rates; cores in percent."""
+    """Return the rates between two readings; processor use in percent of a core."""
     seconds = after["at"] - before["at"]
     link_s = max(0.001, after["bytes_at"] - before["bytes_at"])
     return {
@@ -383,62 +404,62 @@
 
 
 async def measure(bench: Bench, phases: tuple[str, ...]) -> dict:
-    """Run some phases of a bench, each with its time on standard error."""
+    """Run some phases of a bench; print each with its time to standard error."""
     figures: dict = {}
     headers = {"Authorization": f"Bearer {TOKEN}"}
     async with aiohttp.ClientSession(headers=headers) as session:
         bench.session = session
-        await bench.fleet.wait_ready([n.process.name for n in bench.controls])
+        await bench.fleet.wait_ready([n.process.name for n in bench.control_nodes])
         for phase in phases:
             started = time.monotonic()
             figures |= await getattr(bench, phase)()
-            taken = time.monotonic() - started
-            print(f"{phase}: {taken:.1f} s: {figures}", file=sys.stderr)
+            elapsed_s = time.monotonic() - started
+            print(f"{phase}: {elapsed_s:.1f} s: {figures}", file=sys.stderr)
     return figures
 
 
-async def with_watchers(bench: Bench) -> dict:
-    """Run everything on the full fleet."""
+async def measure_with_watchers(bench: Bench) -> dict:
+    """Run all phases on the full fleet."""
     figures = await measure(bench, ("throughput",))
     bench.start_watchers()
-    changer_revision = 1
-    await bench.wait_watchers(changer_revision)
+    first_revision = 1
+    await bench.wait_watchers(first_revision)
     await asyncio.sleep(3)
     return figures | await measure(
         bench, ("propagation", "failover", "restart", "memory")
     )
 
 
-def run_bench(folder: Path, work, **control: object) -> dict:
-    """Run `work` on a fresh fleet, and end the fleet."""
+def run_bench(folder: Path, measure_bench, **control: object) -> dict:
+    """Run `measure_bench` on a new fleet and stop the fleet."""
     folder.mkdir()
     bench = Bench(folder, **control)
     try:
-        return asyncio.run(work(bench))
+        return asyncio.run(measure_bench(bench))
     finally:
         bench.fleet.stop()
 
 
 def without_group_commit(folder: Path) -> dict | None:
-    """Measure the throughput with one sync a record; None when not settable."""
+    """Measure the throughput with one sync per record; None if not configurable."""
     if "group_commit" not in ControlSettings.__struct_fields__:
         return None
     return run_bench(folder, lambda b: measure(b, ("throughput",)), group_commit=False)
 
 
 def main() -> int:
-    """Run, print the figures, and fail when a promise broke."""
+    """Print the figures; return 1 if changes were lost or reverted."""
     folder = Path(tempfile.mkdtemp(prefix="bench-control-"))
     started = time.monotonic()
     try:
-        alone = without_group_commit(folder / "one")
-        figures = run_bench(folder / "all", with_watchers)
+        ungrouped = without_group_commit(folder / "one")
+        figures = run_bench(folder / "all", measure_with_watchers)
     finally:
         shutil.rmtree(folder, ignore_errors=True)
-    figures["without_group_commit"] = alone
+    figures["without_group_commit"] = ungrouped
     figures["group_commit_ratio"] = None
-    if alone is not None:
-        ratio = figures["claims_per_second"] / alone["claims_per_second"]
+    if ungrouped is not None:
+        ratio = figures["claims_per_second"] / ungrouped["claims_per_second"]
         figures["group_commit_ratio"] = round(ratio, 2)
     figures["seconds"] = round(time.monotonic() - started)
     print(json.dumps(figures))
--- a/bench/control_load.py
+++ b/bench/control_load.py
@@ -1,4 +1,4 @@
-"""Load on a control quorum: changes over HTTP, claims over links."""
+"""Load generators for a control quorum: changes over HTTP, claims over links."""
 
 import asyncio
 import itertools
@@ -20,13 +20,13 @@
 
 OWNER = "lettercraft"
 TOKEN = next(token for token, owner in TOKENS.items() if owner == OWNER)
-# An instance that is dead or frozen must not hold the writer up.
-TRY_S = 1.0
-PAUSE_S = 0.01
+# Short, so that a dead or frozen instance does not block the writer.
+ATTEMPT_TIMEOUT_S = 1.0
+RETRY_DELAY_S = 0.01
 
 
-class Acknowledged(NamedTuple):
-    """One change that the quorum acknowledged."""
+class AcknowledgedChange(NamedTuple):
+    """A change that the quorum acknowledged."""
 
     change_id: str
     revision: int
@@ -35,16 +35,16 @@
 
 
 class Changer:
-    """Changes one entry again and again, each change until it is answered.
+    """Changes one entry repeatedly, retrying each change until it is accepted.
 
     Parameters
     ----------
     fleet : Fleet
-        With control instances.
+        Fleet with control instances.
     session : aiohttp.ClientSession
-        For the operators' interface.
+        Client for the operator API.
     name : str
-        The entry.
+        Name of the entry.
     """
 
     def __init__(self, fleet: Fleet, session: aiohttp.ClientSession, name: str):
@@ -52,14 +52,14 @@
         self.session = session
         self.name = name
         self.revision = 0
-        self.numbers = itertools.count(1)
-        self.acknowledged: list[Acknowledged] = []
-        self.faults: list[ChangeResult] = []
-        self.place = 0
+        self.change_numbers = itertools.count(1)
+        self.acknowledged: list[AcknowledgedChange] = []
+        self.refused_results: list[ChangeResult] = []
+        self.instance_index = 0
 
     def next_change(self) -> Change:
-        """Make the next change: another burst limit each time."""
-        number = next(self.numbers)
+        """Return the next change; each one sets another burst limit."""
+        number = next(self.change_numbers)
         entry = Entry(
             name=self.name,
             owner=OWNER,
@@ -70,33 +70,33 @@
         change_id = f"{self.name}-{number}"
         return Change(change_id, OWNER, (Put(entry, self.revision),))
 
-    async def change(self) -> Acknowledged:
-        """Send one change, to other instances in turn, until it is accepted."""
+    async def change(self) -> AcknowledgedChange:
+        """Send one change to each instance in turn until it is accepted."""
         change = self.next_change()
         body = msgspec.json.encode(change)
         sent_at = time.monotonic()
         result = await self.post(body)
         while result is None:
-            await asyncio.sleep(PAUSE_S)
-            self.place += 1
+            await asyncio.sleep(RETRY_DELAY_S)
+            self.instance_index += 1
             result = await self.post(body)
         if result.code != ResultCode.OK:
-            self.faults.append(result)
+            self.refused_results.append(result)
             raise RuntimeError(f"{change.change_id}: {result}")
         self.revision = result.revision
-        done = Acknowledged(
+        acknowledged = AcknowledgedChange(
             change.change_id, result.revision, sent_at, time.monotonic()
         )
-        self.acknowledged.append(done)
-        return done
+        self.acknowledged.append(acknowledged)
+        return acknowledged
 
     async def post(self, body: bytes) -> ChangeResult | None:
-        """Send to one instance; None when it had no answer."""
-        settings = self.fleet.controls[self.place % len(self.fleet.controls)]
+        """Send to one instance; return None if it gave no result."""
+        settings = self.fleet.controls[self.instance_index % len(self.fleet.controls)]
         url = f"http://{settings['http_listen']}/v1/catalogue/changes"
         try:
             async with self.session.post(
-                url, data=body, timeout=aiohttp.ClientTimeout(total=TRY_S)
+                url, data=body, timeout=aiohttp.ClientTimeout(total=ATTEMPT_TIMEOUT_S)
             ) as response:
                 data = await response.read()
                 if response.status == 503:
@@ -105,9 +105,9 @@
             return None
         return msgspec.json.decode(data, type=ChangeResult)
 
-    async def run(self, until: float) -> None:
-        """Change without pause until a time of the monotonic clock."""
-        while time.monotonic() < until:
+    async def run(self, end_s: float) -> None:
+        """Send changes without pause until `end_s` of the monotonic clock."""
+        while time.monotonic() < end_s:
             await self.change()
 
 
@@ -117,7 +117,7 @@
     Parameters
     ----------
     control : ControlClient
-        Its link to control.
+        Client with a link to the control instances.
     name : str
         Client account.
     """
@@ -125,13 +125,13 @@
     def __init__(self, control: ControlClient, name: str):
         self.control = control
         self.name = name
-        self.keys = itertools.count(1)
+        self.key_numbers = itertools.count(1)
         self.acknowledged: dict[str, Claim] = {}
         self.unanswered = 0
 
     @classmethod
     def from_fleet(cls, fleet: Fleet, name: str) -> "Claimer":
-        """Make a claimer with its own link."""
+        """Return a claimer with its own link."""
         path = fleet.folder / "settings" / f"{name}.json"
         tree = fleet.common_settings(
             name, "galway", control=fleet.control_wire_addresses
@@ -147,7 +147,7 @@
 
     async def claim(self) -> None:
         """Claim one new key."""
-        number = next(self.keys)
+        number = next(self.key_numbers)
         expires_ms = time.time_ns() // 1_000_000 + 300_000
         claim = Claim(number.to_bytes(32, "big"), "t1", 1, 1, expires_ms)
         key = f"{self.name}-{number:032d}"
@@ -155,22 +155,22 @@
             result = await self.put(key, claim)
         except WisteriapulleyError:
             self.unanswered += 1
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
             return
         if result.code == ResultCode.OK:
             self.acknowledged[key] = claim
 
     async def put(self, key: str, claim: Claim) -> ClaimResult:
-        """Propose a claim that may not stand yet."""
+        """Propose a claim as the first attempt of a key."""
         return await self.control.propose(PutClaim(ClaimKey(self.name, key), claim, 0))
 
-    async def run(self, until: float) -> None:
-        """Claim without pause until a time of the monotonic clock."""
-        while time.monotonic() < until:
+    async def run(self, end_s: float) -> None:
+        """Claim keys without pause until `end_s` of the monotonic clock."""
+        while time.monotonic() < end_s:
             await self.claim()
 
-    async def missing(self) -> int:
-        """Count acknowledged claims that do not stand any more."""
+    async def count_lost_claims(self) -> int:
+        """Return the number of acknowledged claims that are no longer current."""
         lost = 0
         for key, claim in self.acknowledged.items():
             result = await self.put(key, claim)
--- a/bench/control_watcher.py
+++ b/bench/control_watcher.py
@@ -1,7 +1,7 @@
-"""A node that only watches: the control client of the daemons, and a record.
+"""A node that only watches the catalogue, through the control client of the daemons.
 
-Writes one JSON object a line: each revision when it came into force, and once
-a second what the link to control carried.
+Writes one JSON object per line: each revision when it comes into force, and once a
+second the bytes that the link to the control instance has carried.
 """
 
 import argparse
@@ -26,9 +26,9 @@
     Parameters
     ----------
     settings : EntrySettings
-        An entry's.
+        Settings of an entry.
     records : TextIO
-        Where it writes.
+        Output file.
     """
 
     def __init__(self, settings: EntrySettings, records: TextIO):
@@ -43,17 +43,17 @@
             load_fleet_key(settings.fleet_key_file),
         )
         self.control = ControlClient(
-            settings, identity, (), self.heartbeat, self.changed, lambda: None
+            settings, identity, (), self.heartbeat, self.record_revision, lambda: None
         )
 
     def heartbeat(self) -> messages.Heartbeat:
-        """Make the heartbeat of an entry."""
+        """Return the heartbeat of an entry."""
         return messages.Heartbeat(self.control.catalogue.revision, False, "open")
 
-    def changed(self) -> None:
-        """Record a revision that came into force, and report it."""
+    def record_revision(self) -> None:
+        """Record and report a revision that came into force."""
         revision = self.control.catalogue.revision
-        self.write(kind="revision", revision=revision, at=time.monotonic())
+        self.write_record(kind="revision", revision=revision, at=time.monotonic())
         self.control.send_report(
             messages.Report(
                 node_id=self.settings.node_id,
@@ -65,13 +65,13 @@
             )
         )
 
-    def write(self, **values: object) -> None:
+    def write_record(self, **values: object) -> None:
         """Write one record."""
         self.records.write(json.dumps(values) + "\n")
         self.records.flush()
 
     async def run(self) -> None:
-        """Watch until killed."""
+        """Watch until the process is killed."""
         self.control.announce(
             messages.Announce(
                 self.settings.node_id,
@@ -87,8 +87,8 @@
             await asyncio.sleep(STATS_S)
             link = self.control.connection.open_link
             if link is not None:
-                carried = link.bytes_sent + link.bytes_received
-                self.write(kind="stats", bytes=carried, at=time.monotonic())
+                total_bytes = link.bytes_sent + link.bytes_received
+                self.write_record(kind="stats", bytes=total_bytes, at=time.monotonic())
 
 
 def main() -> None:
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,8 +1,9 @@
 """Load on the request path: ``make bench-load``; the last line is one JSON object.
 
-``processes`` comes from real processes on loopback, ``policy`` from the pure
-modules over virtual time. Every figure stands beside that of round robin with
-unbounded queues from the same run, so that the machine's speed cancels out.
+``processes`` comes from real processes on loopback, ``policy`` from the policy
+modules over virtual time. Each figure is reported together with that of the baseline
+from the same run, round robin with unbounded queues, so that the speed of the machine
+cancels out.
 """
 
 import asyncio
@@ -24,27 +25,27 @@
 
 TARGETS, SLOTS = 6, 4
 TOKEN_S = 0.02
-SHORT, LONG = 10, 60
-LONG_SHARE = 0.1
+SHORT_TOKENS, LONG_TOKENS = 10, 60
+LONG_FRACTION = 0.1
 ACCOUNTS = [f"account-{i}" for i in range(5)]
 LOADS = (0.5, 0.9, 1.0, 1.5, 3.0)
 RUN_S = 4.0
-WARM_S = 1.0
-PATIENCE = 5.0
-LEAST_DEADLINE_S = 1.0
+WARM_UP_S = 1.0
+DEADLINE_FACTOR = 5.0
+MIN_DEADLINE_S = 1.0
 DOMAIN = "palermo"
 OWNER = "lettercraft"
 OVERHEAD_REQUESTS = 300
-# Longer than its queues get in a run, so that its late answers count as such.
-BASELINE_PATIENCE_S = 30.0
-BUSY_CALLERS = 48
-BUSY_S = 3.0
-TICKS = os.sysconf("SC_CLK_TCK")
+# Longer than its queues get in a run, so that late responses are counted as late.
+BASELINE_TIMEOUT_S = 30.0
+THROUGHPUT_CALLERS = 48
+THROUGHPUT_S = 3.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 REFUSED = 429
 
 
 class Outcome(NamedTuple):
-    """What a caller got, and when."""
+    """Outcome of one request of a caller."""
 
     account: str
     tokens: int
@@ -56,56 +57,56 @@
 
 
 def capacity_per_s() -> float:
-    """Return the requests a second that keep every slot just busy."""
-    mean_tokens = (1 - LONG_SHARE) * SHORT + LONG_SHARE * LONG
+    """Return the requests per second that use every slot fully."""
+    mean_tokens = (1 - LONG_FRACTION) * SHORT_TOKENS + LONG_FRACTION * LONG_TOKENS
     return TARGETS * SLOTS / (mean_tokens * TOKEN_S)
 
 
 class Load:
-    """Open-loop callers of one address.
+    """Open-loop load on one address.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Client.
+        HTTP client.
     url : str
-        Where completions go.
-    patience_s : float, optional
-        How long callers wait; by default a little beyond their deadline.
+        Base address for completions.
+    timeout_s : float, optional
+        How long callers wait; by default a little longer than their deadline.
     seed : int
-        Of sizes, accounts and times; the same for both sides.
+        Seed of sizes, accounts and times; the same for entry and baseline.
     """
 
     def __init__(
         self,
         session: aiohttp.ClientSession,
         url: str,
-        patience_s: float | None = None,
+        timeout_s: float | None = None,
         seed: int = 1,
     ):
         self.session = session
         self.url = f"{url}/v1/completions"
-        self.patience_s = patience_s
+        self.timeout_s = timeout_s
         self.seed = seed
 
-    async def run(self, load: float, shares: list[float] | None = None):
-        """Send at `load` times capacity; return the outcomes."""
+    async def run(self, load: float, account_weights: list[float] | None = None):
+        """Send requests at `load` times the capacity; return the outcomes."""
         rng = random.Random(self.seed)
-        shares = shares or [1.0] * len(ACCOUNTS)
+        account_weights = account_weights or [1.0] * len(ACCOUNTS)
         start_s = time.monotonic()
         at_s = start_s
         tasks = []
         while at_s < start_s + RUN_S:
             at_s += rng.expovariate(load * capacity_per_s())
-            account = rng.choices(ACCOUNTS, shares)[0]
-            tokens = LONG if rng.random() < LONG_SHARE else SHORT
+            account = rng.choices(ACCOUNTS, account_weights)[0]
+            tokens = LONG_TOKENS if rng.random() < LONG_FRACTION else SHORT_TOKENS
             await asyncio.sleep(max(0.0, at_s - time.monotonic()))
             tasks.append(asyncio.create_task(self.send(account, tokens, start_s)))
         return await asyncio.gather(*tasks)
 
     async def send(self, account: str, tokens: int, start_s: float) -> Outcome:
         """Send one streamed completion."""
-        deadline_s = max(LEAST_DEADLINE_S, PATIENCE * tokens * TOKEN_S)
+        deadline_s = max(MIN_DEADLINE_S, DEADLINE_FACTOR * tokens * TOKEN_S)
         body = {"model": "drafts", "prompt": "p", "max_tokens": tokens, "stream": True}
         headers = {
             "X-Client-Account": account,
@@ -114,12 +115,12 @@
         sent_s = time.monotonic()
         status, first_s = 0, 0.0
         try:
-            async with asyncio.timeout(self.patience_s or deadline_s + 0.5):
+            async with asyncio.timeout(self.timeout_s or deadline_s + 0.5):
                 async with self.session.post(
                     self.url, json=body, headers=headers
-                ) as answer:
-                    status = answer.status
-                    async for _ in answer.content.iter_any():
+                ) as response:
+                    status = response.status
+                    async for _ in response.content.iter_any():
                         first_s = first_s or time.monotonic() - sent_s
         except (aiohttp.ClientError, TimeoutError):
             status = 0
@@ -130,13 +131,15 @@
 
 
 def goodput(outcomes: list[Outcome]) -> float:
-    """Return tokens a second of answers that came in time."""
-    tokens = sum(o.tokens for o in outcomes if o.in_time and WARM_S < o.ended_s < RUN_S)
-    return tokens / (RUN_S - WARM_S)
+    """Return the tokens per second of responses that met their deadline."""
+    tokens = sum(
+        o.tokens for o in outcomes if o.in_time and WARM_UP_S < o.ended_s < RUN_S
+    )
+    return tokens / (RUN_S - WARM_UP_S)
 
 
-def times(outcomes: list[Outcome], status: int, tokens: int | None = None):
-    """Return the times of answers with a status, in seconds."""
+def response_times(outcomes: list[Outcome], status: int, tokens: int | None = None):
+    """Return the response times of responses with a status, in seconds."""
     return [
         o.took_s for o in outcomes if o.status == status and tokens in (None, o.tokens)
     ]
@@ -144,35 +147,41 @@
 
 def summary(outcomes: list[Outcome]) -> dict[str, float]:
     """Return the figures of one run."""
-    took = times(outcomes, 200)
-    first = [o.first_s for o in outcomes if o.status == 200]
+    durations = response_times(outcomes, 200)
+    first_part_s = [o.first_s for o in outcomes if o.status == 200]
     return {
         "sent": len(outcomes),
         "goodput_tokens_per_s": round(goodput(outcomes), 1),
         "answered_in_time": round(sum(o.in_time for o in outcomes) / len(outcomes), 3),
         "refused": sum(o.status == REFUSED for o in outcomes),
         "failed": sum(o.status not in (200, REFUSED) for o in outcomes),
-        "p50_s": round(percentile(took, 50), 3),
-        "p99_s": round(percentile(took, 99), 3),
-        "first_p50_s": round(percentile(first, 50), 3),
-        "first_p99_s": round(percentile(first, 99), 3),
-        "short_p99_s": round(percentile(times(outcomes, 200, SHORT), 99), 3),
-        "refusal_p50_ms": round(percentile(times(outcomes, REFUSED), 50) * 1000, 2),
-        "refusal_p99_ms": round(percentile(times(outcomes, REFUSED), 99) * 1000, 2),
+        "p50_s": round(percentile(durations, 50), 3),
+        "p99_s": round(percentile(durations, 99), 3),
+        "first_p50_s": round(percentile(first_part_s, 50), 3),
+        "first_p99_s": round(percentile(first_part_s, 99), 3),
+        "short_p99_s": round(
+            percentile(response_times(outcomes, 200, SHORT_TOKENS), 99), 3
+        ),
+        "refusal_p50_ms": round(
+            percentile(response_times(outcomes, REFUSED), 50) * 1000, 2
+        ),
+        "refusal_p99_ms": round(
+            percentile(response_times(outcomes, REFUSED), 99) * 1000, 2
+        ),
     }
 
 
 def jain(outcomes: list[Outcome]) -> float:
-    """Return Jain's index of the tokens that accounts got in time."""
-    got: dict[str, float] = defaultdict(float)
+    """Return Jain's index of the tokens that accounts received in time."""
+    tokens: dict[str, float] = defaultdict(float)
     for outcome in outcomes:
-        if outcome.in_time and WARM_S < outcome.ended_s < RUN_S:
-            got[outcome.account] += outcome.tokens
-    return round(jain_of([got[account] for account in ACCOUNTS]), 3)
+        if outcome.in_time and WARM_UP_S < outcome.ended_s < RUN_S:
+            tokens[outcome.account] += outcome.tokens
+    return round(jain_of([tokens[account] for account in ACCOUNTS]), 3)
 
 
 class Bench:
-    """The fleet under load, and the baseline before the same targets."""
+    """The fleet under load, and the baseline proxy in front of the same targets."""
 
     def __init__(self, fleet: Fleet, session: aiohttp.ClientSession):
         self.fleet = fleet
@@ -190,8 +199,8 @@
                 f"model-{number}", DOMAIN, "letter-models", fake_options=options
             )
             self.target_urls.append(node.settings["target_url"])
-        press = fleet.start_target("press", DOMAIN, "print-proof", "plain")
-        self.press_url = press.settings["target_url"]
+        plain_target = fleet.start_target("press", DOMAIN, "print-proof", "plain")
+        self.plain_target_url = plain_target.settings["target_url"]
         fleet.start_entry("entry", DOMAIN)
         await fleet.wait_ready([s["node_id"] for s in fleet.controls])
         self.apply(fleet.publish(1, 1 << 20, 1 << 18))
@@ -203,10 +212,10 @@
         await asyncio.sleep(1.5)
         self.ours = Load(self.session, fleet.nodes["entry"].http)
         baseline_url = f"http://{address(port)}"
-        self.baseline = Load(self.session, baseline_url, BASELINE_PATIENCE_S)
+        self.baseline = Load(self.session, baseline_url, BASELINE_TIMEOUT_S)
 
     def apply(self, version: str) -> None:
-        """Put the two services into the catalogue."""
+        """Add entries of both services to the catalogue."""
         folder = self.fleet.folder / "catalogue"
         folder.mkdir()
         limits = {"requests_per_s": 1e5, "burst": 100_000, "in_flight": SLOTS}
@@ -227,48 +236,57 @@
             "limits": limits,
         }
 
-    async def pace(self, token_s: float) -> None:
-        """Make the first target slow or well."""
+    async def set_token_time(self, token_s: float) -> None:
+        """Set the time per token of the first target."""
         body = {"token_s": token_s}
         url = f"{self.target_urls[0]}/fake/pace"
-        async with self.session.post(url, json=body) as answer:
-            await answer.read()
+        async with self.session.post(url, json=body) as response:
+            await response.read()
 
-    async def both(self, load: float, shares: list[float] | None = None):
-        """Run ours, then the baseline; its late work first leaves the engines."""
-        ours = await self.ours.run(load, shares)
+    async def run_both(self, load: float, account_weights: list[float] | None = None):
+        """Run the load on the entry, then on the baseline.
+
+        Wait afterwards until the engines have finished the baseline's late requests.
+        """
+        ours = await self.ours.run(load, account_weights)
         await asyncio.sleep(0.5)
-        baseline = await self.baseline.run(load, shares)
-        await self.idle()
+        baseline = await self.baseline.run(load, account_weights)
+        await self.wait_idle()
         return ours, baseline
 
-    async def idle(self) -> None:
-        """Wait until no target runs anything."""
+    async def wait_idle(self) -> None:
+        """Wait until no target has requests."""
         while True:
             await asyncio.sleep(0.3)
-            if not any([await self.held(url) for url in self.target_urls]):
+            if not any([await self.request_count(url) for url in self.target_urls]):
                 return
 
-    async def held(self, url: str) -> int:
-        """Return what a target holds."""
-        async with self.session.get(f"{url}/control/state") as answer:
-            state = await answer.json()
+    async def request_count(self, url: str) -> int:
+        """Return the number of requests that a target runs or queues."""
+        async with self.session.get(f"{url}/control/state") as response:
+            state = await response.json()
         return state["running"] + state["waiting"]
 
     async def figures(self) -> dict:
-        """Return every figure of the processes."""
+        """Return all figures of the real processes."""
         await self.ours.run(0.5)
         by_load = {}
         for load in LOADS:
-            ours, baseline = await self.both(load)
+            ours, baseline = await self.run_both(load)
             by_load[str(load)] = {"ours": summary(ours), "baseline": summary(baseline)}
-        good = {k: row["ours"]["goodput_tokens_per_s"] for k, row in by_load.items()}
-        mixed = by_load["0.9"]
+        goodputs = {
+            k: row["ours"]["goodput_tokens_per_s"] for k, row in by_load.items()
+        }
+        at_load_09 = by_load["0.9"]
         return {
             "loads": by_load,
-            "goodput_at_3_over_peak": round(good["3.0"] / max(good.values()), 3),
+            "goodput_at_3_over_peak": round(
+                goodputs["3.0"] / max(goodputs.values()), 3
+            ),
             "short_p99_over_baseline": round(
-                mixed["ours"]["short_p99_s"] / mixed["baseline"]["short_p99_s"], 3
+                at_load_09["ours"]["short_p99_s"]
+                / at_load_09["baseline"]["short_p99_s"],
+                3,
             ),
             "refusal_p99_ms": by_load["3.0"]["ours"]["refusal_p99_ms"],
             "jain": await self.fairness(),
@@ -278,56 +296,61 @@
         }
 
     async def fairness(self) -> dict[str, float]:
-        """One account at ten times its share of a full service."""
-        ours, baseline = await self.both(2.8, [10.0, 1.0, 1.0, 1.0, 1.0])
+        """Measure fairness with one account at ten times its share of full load."""
+        ours, baseline = await self.run_both(2.8, [10.0, 1.0, 1.0, 1.0, 1.0])
         return {"ours": jain(ours), "baseline": jain(baseline)}
 
     async def slow_target(self) -> dict[str, float]:
-        """p99 of short requests with one slow target over p99 without."""
-        healthy = await self.both(0.5)
-        await self.pace(TOKEN_S * 10)
-        # The finding of the slow target is not the steady state.
+        """Return the p99 of short requests with a slow target over that without."""
+        healthy = await self.run_both(0.5)
+        await self.set_token_time(TOKEN_S * 10)
+        # Detect the slow target first, so that the steady state is measured.
         await self.ours.run(0.5)
-        slow = await self.both(0.5)
-        await self.pace(TOKEN_S)
+        slow = await self.run_both(0.5)
+        await self.set_token_time(TOKEN_S)
         ratios = {}
         for name, with_slow, without in zip(
             ("ours", "baseline"), slow, healthy, strict=True
         ):
-            first = percentile(times(with_slow, 200, SHORT), 99)
-            ratios[name] = round(first / percentile(times(without, 200, SHORT), 99), 3)
+            slow_p99_s = percentile(response_times(with_slow, 200, SHORT_TOKENS), 99)
+            ratios[name] = round(
+                slow_p99_s / percentile(response_times(without, 200, SHORT_TOKENS), 99),
+                3,
+            )
         return ratios
 
     async def post(self, url: str) -> float:
-        """Send one small call; return its seconds."""
+        """Send one small request; return its time in seconds."""
         start_s = time.perf_counter()
         headers = {"X-Client-Account": "account-0"}
-        async with self.session.post(url, data=b"{}", headers=headers) as answer:
-            await answer.read()
-            assert answer.status == 200, answer.status
+        async with self.session.post(url, data=b"{}", headers=headers) as response:
+            await response.read()
+            assert response.status == 200, response.status
         return time.perf_counter() - start_s
 
     async def overhead(self) -> dict[str, float]:
-        """Added latency of entry, link and sidecar, one call at a time."""
-        through = self.fleet.nodes["entry"].http + "/services/letters/x"
-        direct = f"{self.press_url}/x"
-        took: dict[str, list[float]] = {through: [], direct: []}
+        """Measure the latency added by entry, link and sidecar, one call at a time."""
+        through_entry = self.fleet.nodes["entry"].http + "/services/letters/x"
+        direct = f"{self.plain_target_url}/x"
+        durations: dict[str, list[float]] = {through_entry: [], direct: []}
         for _ in range(OVERHEAD_REQUESTS):
-            for url, values in took.items():
+            for url, values in durations.items():
                 values.append(await self.post(url))
-        added = percentile(took[through], 50) - percentile(took[direct], 50)
+        added = percentile(durations[through_entry], 50) - percentile(
+            durations[direct], 50
+        )
         return {"added_p50_ms": round(added * 1000, 3)}
 
     def cpu_s(self) -> float:
-        """Return the processor seconds that the entry has used."""
+        """Return the processor time that the entry has used, in seconds."""
         pid = self.fleet.nodes["entry"].process.popen.pid
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     async def throughput(self) -> dict[str, float]:
-        """Small calls as fast as one entry takes them."""
+        """Measure the maximum rate of small requests through one entry."""
         url = self.fleet.nodes["entry"].http + "/services/letters/x"
-        end_s = time.monotonic() + BUSY_S
+        end_s = time.monotonic() + THROUGHPUT_S
         before_s = self.cpu_s()
 
         async def call() -> int:
@@ -337,16 +360,16 @@
                 count += 1
             return count
 
-        done = sum(await asyncio.gather(*(call() for _ in range(BUSY_CALLERS))))
+        done = sum(await asyncio.gather(*(call() for _ in range(THROUGHPUT_CALLERS))))
         used_s = self.cpu_s() - before_s
         return {
-            "requests_per_s": round(done / BUSY_S, 1),
+            "requests_per_s": round(done / THROUGHPUT_S, 1),
             "cpu_us_per_request": round(used_s / done * 1e6, 1),
             **await self.token_frames(),
         }
 
     async def token_frames(self) -> dict[str, float]:
-        """Processor time for each streamed token at a steady load."""
+        """Measure the processor time per streamed token at a steady load."""
         before_s = self.cpu_s()
         outcomes = await self.ours.run(0.9)
         tokens = sum(o.tokens for o in outcomes if o.status == 200)
@@ -354,7 +377,7 @@
 
 
 async def run(folder: Path) -> dict:
-    """Run the processes; return their figures."""
+    """Run the real processes and return their figures."""
     fleet = Fleet(folder)
     connector = aiohttp.TCPConnector(limit=0)
     timeout = aiohttp.ClientTimeout(total=None)
@@ -370,7 +393,7 @@
 
 
 def main() -> int:
-    """Run both halves and print the figures."""
+    """Run both parts and print the figures."""
     folder = Path(tempfile.mkdtemp(prefix="bench-load-"))
     try:
         processes = asyncio.run(run(folder))
--- a/bench/round_robin.py
+++ b/bench/round_robin.py
@@ -1,7 +1,7 @@
-"""Baseline of ``bench.load``: round robin with unbounded queues, as a process.
+"""Baseline of ``bench.load``: a round-robin proxy with unbounded queues.
 
-It passes each request to the next target at once, refuses none and knows
-nothing of deadlines.
+It forwards each request to the next target immediately, refuses none and ignores
+deadlines.
 """
 
 import argparse
@@ -15,29 +15,31 @@
 
 
 class RoundRobin:
-    """Proxy that takes targets in turn."""
+    """Proxy that forwards to each target in turn."""
 
     def __init__(self, targets: list[str], session: aiohttp.ClientSession):
-        self.turns = itertools.cycle(targets)
+        self.urls = itertools.cycle(targets)
         self.session = session
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
-        """Pass one request on."""
+        """Forward one request."""
         body = await request.read()
         headers = {"X-Request-Id": request.headers.get("X-Request-Id", "none")}
-        url = next(self.turns) + request.path
-        async with self.session.post(url, data=body, headers=headers) as answer:
-            response = web.StreamResponse(status=answer.status)
-            response.content_type = answer.content_type
+        url = next(self.urls) + request.path
+        async with self.session.post(
+            url, data=body, headers=headers
+        ) as target_response:
+            response = web.StreamResponse(status=target_response.status)
+            response.content_type = target_response.content_type
             await response.prepare(request)
-            async for part in answer.content.iter_any():
+            async for part in target_response.content.iter_any():
                 await response.write(part)
         await response.write_eof()
         return response
 
 
 async def main() -> None:
-    """Run as a process."""
+    """Parse the command line and run the proxy."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--targets", required=True)
--- a/bench/rules.py
+++ b/bench/rules.py
@@ -1,4 +1,4 @@
-"""Placement rules that are measured against the one in use."""
+"""Placement rules that are compared with the rule in use."""
 
 import itertools
 import random
@@ -10,40 +10,41 @@
 
 
 class TwoChoices:
-    """The less loaded of two random targets."""
+    """Choose the less loaded of two random targets."""
 
     def __init__(self, rng: random.Random):
         self.rng = rng
 
     def pick(self, targets: Sequence[TargetView], work: Work) -> str:
-        """Choose one of the targets that have room."""
-        pair = self.rng.sample(targets, min(2, len(targets)))
-        return min(pair, key=lambda target: target.outstanding).node_id
+        """Choose one of the targets with free slots."""
+        candidates = self.rng.sample(targets, min(2, len(targets)))
+        return min(candidates, key=lambda target: target.outstanding).node_id
 
 
 class RoundRobin:
-    """Each target in turn."""
+    """Choose each target in turn."""
 
     def __init__(self, rng: random.Random):
-        self.turns = itertools.count()
+        self.counter = itertools.count()
 
     def pick(self, targets: Sequence[TargetView], work: Work) -> str:
-        """Choose the next of the targets that have room."""
-        return targets[next(self.turns) % len(targets)].node_id
+        """Choose the next of the targets with free slots."""
+        return targets[next(self.counter) % len(targets)].node_id
 
 
 class VolumeBySizeClass:
-    """Least volume assigned so far in the request's size class.
+    """Choose the target with the least volume assigned in the request's size class.
 
-    The immediate-dispatch rule of Avrahami and Azar; it needs sizes known.
+    This is the immediate-dispatch rule of Avrahami and Azar. It needs the sizes of
+    requests to be known.
     """
 
     def __init__(self, rng: random.Random):
         self.volumes: Counter[tuple[str, int]] = Counter()
 
     def pick(self, targets: Sequence[TargetView], work: Work) -> str:
-        """Choose one of the targets that have room."""
-        number = size_class(work.units)
-        best = min(targets, key=lambda t: self.volumes[t.node_id, number])
-        self.volumes[best.node_id, number] += work.units
-        return best.node_id
+        """Choose one of the targets with free slots."""
+        class_number = size_class(work.units)
+        chosen = min(targets, key=lambda t: self.volumes[t.node_id, class_number])
+        self.volumes[chosen.node_id, class_number] += work.units
+        return chosen.node_id
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,9 +1,9 @@
 """Slopes of cost against size: ``make bench-slopes``.
 
-Each slope is measured in this process at three sizes at least and fitted by
-least squares through the points; ``docs/CAPACITY.md`` multiplies them by the
-sizes of the letter. Processor time is this thread's own, bytes are what the
-codec writes, resident bytes come from the allocator by `tracemalloc`.
+Each slope is measured in this process at three or more sizes and fitted by least
+squares. ``docs/CAPACITY.md`` multiplies the slopes by the required sizes.
+Processor time is that of this thread, bytes are those that the codec writes, and
+resident bytes are allocations traced by `tracemalloc`.
 """
 
 import asyncio
@@ -53,7 +53,7 @@
 
 
 class Slope(NamedTuple):
-    """Fitted cost of one more of what was varied, and the points."""
+    """Fitted cost of one additional item, and the points of the fit."""
 
     cpu_us: float
     wire_bytes: float
@@ -62,18 +62,18 @@
 
 
 def fit(points: list[Point], field: str) -> float:
-    """Return the least-squares slope of a cost over the size."""
+    """Return the least-squares slope of a cost against the size."""
     sizes = [point.size for point in points]
     costs = [getattr(point, field) for point in points]
-    middle = sum(sizes) / len(sizes)
-    mean = sum(costs) / len(costs)
-    spread = sum((size - middle) ** 2 for size in sizes)
+    mean_size = sum(sizes) / len(sizes)
+    mean_cost = sum(costs) / len(costs)
+    spread = sum((size - mean_size) ** 2 for size in sizes)
     pairs = zip(sizes, costs, strict=True)
-    return sum((size - middle) * (cost - mean) for size, cost in pairs) / spread
+    return sum((size - mean_size) * (cost - mean_cost) for size, cost in pairs) / spread
 
 
 def slope(sizes: tuple[int, ...], measure: Callable[[int], tuple]) -> Slope:
-    """Measure at each size; the least of some runs is the cost."""
+    """Measure at each size; the cost is the minimum of `REPEATS` runs."""
     points = []
     for size in sizes:
         runs = [run_once(size, measure) for _ in range(REPEATS)]
@@ -83,46 +83,46 @@
 
 
 def run_once(size: int, measure: Callable[[int], tuple]) -> Point:
-    """Measure memory with the allocator traced, then time without it."""
+    """Measure memory with traced allocations, then time without tracing."""
     gc.collect()
     tracemalloc.start()
-    kept = measure(size)
+    result = measure(size)
     resident = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    wire_bytes = kept[1]
-    del kept
+    wire_bytes = result[1]
+    del result
     started = time.thread_time()
     measure(size)
     return Point(size, (time.thread_time() - started) * 1e6, wire_bytes, resident)
 
 
-def entry(number: int) -> Entry:
-    """Make a catalogue entry."""
-    tree = {
+def make_entry(number: int) -> Entry:
+    """Return a catalogue entry."""
+    fields = {
         "name": f"entry-{number}",
         "owner": "owner",
         "class": "report",
         "service": f"service-{number}",
         "version": f"{number:064x}",
     }
-    return msgspec.convert(tree, Entry)
+    return msgspec.convert(fields, Entry)
 
 
-def announce(number: int) -> messages.Announce:
-    """Make a member."""
+def make_announcement(number: int) -> messages.Announce:
+    """Return the announcement of a member."""
     return messages.Announce(
         f"sidecar-{number}", 1, "sidecar", f"s-{number % 12}", "d", "10.0.0.1:7000"
     )
 
 
-# -- what is measured ------------------------------------------------------
+# -- measurements ----------------------------------------------------------
 
 
 def members(count: int) -> tuple[object, int]:
-    """Hold a view of `count` members, and encode it once for a new watcher."""
+    """Build a table of `count` members and encode it once for a new watcher."""
     table = MemberTable("control-1", 1)
     for number in range(count):
-        table.record_announcement(announce(number))
+        table.record_announcement(make_announcement(number))
     update = table.full_update()
     return (table, update), len(codec.encode(Frame(1, 0, update)))
 
@@ -131,15 +131,15 @@
     """Encode and decode one heartbeat on each of `count` links."""
     total = 0
     for number in range(count):
-        beat = messages.Heartbeat(number, False, "open", f"{number:064x}", 3)
-        data = codec.encode(Frame(number + 1, 0, beat))
+        heartbeat = messages.Heartbeat(number, False, "open", f"{number:064x}", 3)
+        data = codec.encode(Frame(number + 1, 0, heartbeat))
         codec.decode(data[codec.HEADER.size :], b"")
         total += len(data)
     return None, total
 
 
-def load_beats(count: int) -> tuple[object, int]:
-    """Encode and decode one change of load on each of `count` links."""
+def load_updates(count: int) -> tuple[object, int]:
+    """Encode and decode one load update on each of `count` links."""
     total = 0
     for number in range(count):
         data = codec.encode(Frame(number + 1, 0, messages.Load(number % 32, 3)))
@@ -149,7 +149,7 @@
 
 
 def keep_alives(count: int) -> tuple[object, int]:
-    """Take one heartbeat that says nothing new from each of `count` links."""
+    """Receive one heartbeat without changes from each of `count` links."""
     buffer = FrameBuffer()
     for _ in range(count):
         buffer.feed(codec.KEEP_ALIVE)
@@ -158,16 +158,16 @@
 
 
 def catalogue(count: int) -> tuple[object, int]:
-    """Accept `count` entries one by one, and encode the whole for a watcher."""
+    """Apply `count` entries one by one and encode the catalogue for a watcher."""
     store = Catalogue()
     for number in range(count):
-        change = Change(f"c-{number}", "owner", (Put(entry(number), 0),))
+        change = Change(f"c-{number}", "owner", (Put(make_entry(number), 0),))
         store.apply(change)
     return store, len(msgspec.msgpack.encode(store.image()))
 
 
 def claims(count: int) -> tuple[object, int]:
-    """Hold `count` claims, all within their ten minutes."""
+    """Build a ledger of `count` claims, none of them expired (ten minutes)."""
     ledger = ClaimLedger()
     wire_bytes = 0
     for number in range(count):
@@ -180,8 +180,8 @@
 
 
 @lru_cache
-def burst(count: int) -> tuple[list[Peer], Seeders]:
-    """Rank one of `count` instances of a burst."""
+def burst_view(count: int) -> tuple[list[Peer], Seeders]:
+    """Return all peers of a burst of `count` instances and the seeders of one."""
     peers = [Peer(f"peer-{i}", f"d-{i % 8}") for i in range(count)]
     seeders = Seeders(peers[0])
     seeders.set_members(peers)
@@ -189,8 +189,8 @@
 
 
 def schedule(count: int) -> tuple[object, int]:
-    """Plan a copy of `count` chunks from 15 neighbours, among 820 members."""
-    peers, seeders = burst(MEMBERS)
+    """Schedule a download of `count` chunks from 15 neighbours, of 820 members."""
+    peers, seeders = burst_view(MEMBERS)
     digests = [f"{number:064x}" for number in range(count)]
     rng = random.Random(1)
     plan = Schedule(seeders, digests, "time_to_replicas", 2000, rng, 0)
@@ -205,7 +205,7 @@
 
 
 def placements(count: int) -> tuple[object, int]:
-    """Place 100 requests among `count` linked targets."""
+    """Place 100 requests on `count` linked targets."""
     views = [TargetView(f"t-{i}", i % 5, i % 7) for i in range(count)]
     placement = LeastOutstanding(random.Random(1))
     for number in range(100):
@@ -217,7 +217,7 @@
 
 
 class RoleCost(NamedTuple):
-    """Idle cost of one daemon: resident bytes, and share of a core."""
+    """Idle cost of one daemon: resident bytes, and percent of a core."""
 
     resident_bytes: int
     anonymous_bytes: int
@@ -225,7 +225,7 @@
 
 
 def role_cost(node: Node, seconds: float) -> RoleCost:
-    """Watch one daemon that only keeps its links alive."""
+    """Measure one daemon that only keeps its links alive."""
     pid = node.process.popen.pid
     before = cpu_seconds(pid)
     time.sleep(seconds)
@@ -239,12 +239,12 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of a process so far."""
+    """Return the processor time that a process has used, in seconds."""
     rest = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(rest[11]) + int(rest[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def roles(seconds: float = 5.0) -> dict[str, RoleCost]:
+def role_costs(seconds: float = 5.0) -> dict[str, RoleCost]:
     """Measure one idle daemon of each role in a fleet of three."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder))
@@ -264,7 +264,7 @@
 MEASURES = {
     "members": (NODES, members),
     "heartbeats": (NODES, heartbeats),
-    "load_beats": (NODES, load_beats),
+    "load_beats": (NODES, load_updates),
     "keep_alives": (NODES, keep_alives),
     "catalogue_entries": (ENTRIES, catalogue),
     "claims": (CLAIMS, claims),
@@ -274,19 +274,19 @@
 
 
 def main() -> None:
-    """Print each slope, then all as one JSON object."""
+    """Print each slope, then all figures as one JSON object."""
     figures = {}
-    burst(MEMBERS)
+    burst_view(MEMBERS)
     for name, (sizes, measure) in MEASURES.items():
-        found = slope(sizes, measure)
-        figures[name] = found._asdict() | {"points": [p._asdict() for p in found[3]]}
+        fitted = slope(sizes, measure)
+        figures[name] = fitted._asdict() | {"points": [p._asdict() for p in fitted[3]]}
         print(
-            f"{name:<26}{found.cpu_us:>10.2f} us {found.wire_bytes:>9.1f} bytes"
-            f" {found.resident_bytes:>9.1f} resident, each"
+            f"{name:<26}{fitted.cpu_us:>10.2f} us {fitted.wire_bytes:>9.1f} bytes"
+            f" {fitted.resident_bytes:>9.1f} resident, each"
         )
-        for point in found.points:
+        for point in fitted.points:
             print(f"    {point}")
-    for name, cost in roles().items():
+    for name, cost in role_costs().items():
         figures[name] = cost._asdict()
         print(f"{name:<26}{cost}")
     print(json.dumps(figures))
--- a/bench/turned_away.py
+++ b/bench/turned_away.py
@@ -1,8 +1,8 @@
-"""What callers get while targets turn requests away: ``python -m bench.turned_away``.
+"""Results for callers while targets reject requests: ``python -m bench.turned_away``.
 
-Entries' own dispatch and sidecars' own queues, on a virtual clock, without links or
-processes. Each row has some of the targets turn all requests away from second 2 to 8,
-with a rest in their answers, without one, or absent in place of that.
+Runs the entries' dispatch and the sidecars' queues on a virtual clock, without links or
+processes. In each row of the table, some of the targets reject all requests from second
+2 to 8, with a requested cool-down or without one, or they are absent in that time.
 """
 
 import argparse
@@ -42,83 +42,84 @@
 from wisteriapulley.wire.handshake import Hello, Identity
 from wisteriapulley.wire.messages import TargetState
 
-SECONDS = 12.0
-FROM_S, TO_S = 2.0, 8.0
-# Callers that come so long after the end still meet how targets are taken in again.
-AFTER_S = 2.0
+DURATION_S = 12.0
+REJECT_FROM_S, REJECT_TO_S = 2.0, 8.0
+# Callers that arrive within this time after the rejections see how the targets are
+# readmitted; the "after" columns are theirs.
+RECOVERY_S = 2.0
 HOP_S = 0.001
-BEAT_S = 1.0
-# An engine's events come in this rhythm at the latest, as far as entries see.
-EVENT_S = 0.4
-OBJECTIVE_S, PATIENCE_S = 0.45, 6.0
-PLAIN_SLOTS, PLAIN_WORK_S, PLAIN_QUEUE = 6, 0.09, 4
-ENGINES, PLAIN = 9, 6
+HEARTBEAT_S = 1.0
+# Maximum time between two events of a stream, as seen by entries.
+MAX_EVENT_INTERVAL_S = 0.4
+OBJECTIVE_S, MAX_WAIT_S = 0.45, 6.0
+PLAIN_SLOTS, PLAIN_DURATION_S, PLAIN_QUEUE = 6, 0.09, 4
+ENGINE_TARGETS, PLAIN_TARGETS = 9, 6
 MIX = MIXES["lettercraft"]
-# Requests a second that keep one target busy.
+# Requests per second that keep one target busy.
 ENGINE_PER_S = MIX.per_s / 8
-PLAIN_PER_S = PLAIN_SLOTS / PLAIN_WORK_S
-NONE = Address("127.0.0.1", 0)
+PLAIN_PER_S = PLAIN_SLOTS / PLAIN_DURATION_S
+NO_ADDRESS = Address("127.0.0.1", 0)
 
 
 class Scenario(NamedTuple):
-    """What is played.
+    """Parameters of one run.
 
     Attributes
     ----------
     plain : bool
         Whether targets are plain, or engines with sidecars.
     entries : int
-        Entries, with as many callers each.
-    share : float
-        Of the targets that turn away.
-    how : str
-        "rest", "no rest" or "absent".
+        Number of entries; each request goes to a random one.
+    rejecting_fraction : float
+        Fraction of the targets that reject.
+    mode : str
+        "rest" (with a cool-down), "no rest" or "absent".
     load : float
-        Requests a second, as a share of what all targets bear.
+        Requests per second, as a fraction of the capacity of all targets.
     seed : int
-        Of the draws.
+        Random seed.
     """
 
     plain: bool
     entries: int
-    share: float
-    how: str
+    rejecting_fraction: float
+    mode: str
     load: float = 0.7
     seed: int = 1
 
     @property
     def targets(self) -> int:
-        """How many there are."""
-        return PLAIN if self.plain else ENGINES
+        """Number of targets."""
+        return PLAIN_TARGETS if self.plain else ENGINE_TARGETS
 
     @property
     def per_s(self) -> float:
-        """Requests a second."""
-        one = PLAIN_PER_S if self.plain else ENGINE_PER_S
-        return one * self.targets * self.load
+        """Requests per second."""
+        target_per_s = PLAIN_PER_S if self.plain else ENGINE_PER_S
+        return target_per_s * self.targets * self.load
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock jumps to the next timer."""
+    """An event loop whose clock jumps to the next timer."""
 
     def __init__(self):
         super().__init__()
         self.clock_s = 0.0
-        self.really_select = self._selector.select
+        self.real_select = self._selector.select
         self._selector.select = self.select
 
     def time(self) -> float:
-        """Return the virtual clock."""
+        """Return the virtual time."""
         return self.clock_s
 
     def select(self, timeout_s: float | None) -> list:
-        """Wait for nothing: let the time pass."""
+        """Advance the virtual clock instead of waiting."""
         self.clock_s += timeout_s or 0.0
-        return self.really_select(0)
+        return self.real_select(0)
 
 
 class Answer:
-    """An answer of a virtual target; see `direct.types.TargetAnswer`."""
+    """Response of a virtual target; see `direct.types.TargetAnswer`."""
 
     def __init__(
         self,
@@ -142,19 +143,19 @@
             yield event
 
     def close(self) -> None:
-        """Nothing is kept open."""
+        """Do nothing; there is no connection."""
 
 
 class VirtualTarget:
-    """A plain target or an engine that may turn requests away."""
+    """A plain target or an engine that can reject requests."""
 
     def __init__(self, scenario: Scenario, number: int):
         self.plain = scenario.plain
         self.name = f"i-{number}"
-        self.turns_away = False
-        self.rest_s = 3.0 if scenario.how == "rest" else 0.0
-        self.arrived = self.sent_away = self.running = 0
-        self.places = asyncio.Semaphore(PLAIN_SLOTS)
+        self.rejects = False
+        self.cooldown_s = 3.0 if scenario.mode == "rest" else 0.0
+        self.arrived = self.rejected = self.running = 0
+        self.slots = asyncio.Semaphore(PLAIN_SLOTS)
         self.events: dict[str, asyncio.Queue] = {}
         loop = asyncio.get_running_loop()
         self.engine = EmulatedEngine(
@@ -165,39 +166,39 @@
         )
 
     async def answer(self, request: CallerRequest) -> Answer:
-        """Answer a request, or turn it away."""
+        """Serve a request or reject it."""
         self.arrived += 1
         full = self.plain and self.running >= PLAIN_SLOTS + PLAIN_QUEUE
-        if self.turns_away or full:
-            self.sent_away += 1
-            rest = RequestedCooldown(self.rest_s if self.turns_away else 0.0)
-            return Answer(503, ResponseSignals(cooldown=rest))
+        if self.rejects or full:
+            self.rejected += 1
+            cooldown = RequestedCooldown(self.cooldown_s if self.rejects else 0.0)
+            return Answer(503, ResponseSignals(cooldown=cooldown))
         if not self.plain:
             return await self.stream(request)
         self.running += 1
-        async with self.places:
-            await asyncio.sleep(PLAIN_WORK_S)
+        async with self.slots:
+            await asyncio.sleep(PLAIN_DURATION_S)
         self.running -= 1
         signals = ResponseSignals(TargetLoad(self.running, 0, PLAIN_SLOTS))
         return Answer(200, signals)
 
     async def next_event(self, queue: asyncio.Queue) -> bytes | None:
-        """Return an event now and then, and None at the end."""
+        """Return an event within `MAX_EVENT_INTERVAL_S`, or None at the end."""
         try:
-            async with asyncio.timeout(EVENT_S):
+            async with asyncio.timeout(MAX_EVENT_INTERVAL_S):
                 return await queue.get()
         except TimeoutError:
             return b"more"
 
     async def stream(self, request: CallerRequest) -> Answer:
-        """Run a request at the engine; events come in a coarse rhythm."""
+        """Run a request at the engine; its events come at a coarse interval."""
         events = round(request.answer_tokens / ENGINE.stride)
         queue = self.events[request.request_id] = asyncio.Queue()
         self.engine.on_first = lambda name: self.events[name].put_nowait(b"1")
         self.engine.submit(Job(request.request_id, request.prompt_tokens, events))
         await queue.get()
 
-        async def rest() -> AsyncIterator[bytes]:
+        async def stream_events() -> AsyncIterator[bytes]:
             event = b"1"
             for number in itertools.count(1):
                 if event is None:
@@ -205,7 +206,7 @@
                 yield b"id: %d\ndata: 1\n\n" % number
                 event = await self.next_event(queue)
 
-        return Answer(200, ResponseSignals(), rest())
+        return Answer(200, ResponseSignals(), stream_events())
 
 
 class VirtualClient:
@@ -217,23 +218,23 @@
     async def send(self, request: CallerRequest, plan: SendPlan) -> Answer:
         """Send a request."""
         await asyncio.sleep(HOP_S)
-        answer = await self.targets[plan.target_id].answer(request)
+        response = await self.targets[plan.target_id].answer(request)
         await asyncio.sleep(HOP_S)
-        return answer
+        return response
 
 
 class SidecarLink(RecordingLink):
     """An entry's link to a sidecar in the same process."""
 
-    def __init__(self, name: str, granting: SlotAdmission):
+    def __init__(self, name: str, admission: SlotAdmission):
         super().__init__()
         self.peer_id = name
         self.peer = Hello(1, name, "entry", 1, "z", b"")
-        self.granting = granting
+        self.admission = admission
         self.replies: dict[int, messages.Reserved] = {}
 
     def post(self, message: tuple, reply_to: int = 0) -> None:
-        """Take a reply, or tell the sidecar something."""
+        """Record a reply, or deliver a message to the sidecar."""
         if reply_to:
             self.replies[reply_to] = message
             return
@@ -241,40 +242,42 @@
         frame = Frame(0, 0, message)
         loop.call_later(
             HOP_S,
-            lambda: loop.create_task(self.granting.receive(message, self, frame)),
+            lambda: loop.create_task(self.admission.receive(message, self, frame)),
         )
 
     def beat(self) -> None:
-        """Loads are looked up, not told."""
+        """Do nothing; the load is read from the sidecar directly."""
 
 
 class VirtualSidecars:
     """Sidecars in the same process; see `direct.sidecars.Sidecars`."""
 
-    def __init__(self, name: str, grantings: dict[str, SlotAdmission]):
+    def __init__(self, name: str, admissions: dict[str, SlotAdmission]):
         self.links = {
-            target: SidecarLink(name, granting)
-            for target, granting in grantings.items()
+            target: SidecarLink(name, admission)
+            for target, admission in admissions.items()
         }
-        self.numbers = itertools.count(1)
+        self.frame_ids = itertools.count(1)
 
     def is_selected(self, target: Target) -> bool:
-        """All are chosen."""
+        """Return True; all sidecars are selected."""
         return True
 
     def is_available(self, target: Target) -> bool:
-        """Tell whether a sidecar grants anything."""
-        return self.said(target).state != CLOSED_STATE
+        """Return whether a sidecar grants slots."""
+        return self.heartbeat_of(target).state != CLOSED_STATE
 
-    def said(self, target: Target) -> messages.Heartbeat:
-        """Return what a sidecar says of its load."""
-        return self.links[target.target_id].granting.heartbeat()
+    def heartbeat_of(self, target: Target) -> messages.Heartbeat:
+        """Return the current heartbeat of a target's sidecar."""
+        return self.links[target.target_id].admission.heartbeat()
 
     def load_of(self, target: Target, now_s: float) -> Load:
         """Return an engine's load."""
-        said = self.said(target)
-        later = LIMITED_LOAD * target.slots if said.state == LIMITED_STATE else 0.0
-        return Load(said.running + said.waiting + later, target.slots)
+        heartbeat = self.heartbeat_of(target)
+        queued = (
+            LIMITED_LOAD * target.slots if heartbeat.state == LIMITED_STATE else 0.0
+        )
+        return Load(heartbeat.running + heartbeat.waiting + queued, target.slots)
 
     def link_to(self, target: Target) -> SidecarLink | None:
         """Return the link to a target's sidecar; plain targets have none."""
@@ -283,12 +286,12 @@
     async def reserve(
         self, link: SidecarLink, target: Target, reservation: messages.Reserve
     ) -> messages.Reserved:
-        """Ask for a place."""
+        """Request a slot."""
         await asyncio.sleep(HOP_S)
-        number = next(self.numbers)
-        await link.granting.receive(reservation, link, Frame(number, 0, reservation))
+        frame_id = next(self.frame_ids)
+        await link.admission.receive(reservation, link, Frame(frame_id, 0, reservation))
         await asyncio.sleep(HOP_S)
-        return link.replies.pop(number)
+        return link.replies.pop(frame_id)
 
     def release(
         self,
@@ -297,14 +300,14 @@
         outcome: SendOutcome = SendOutcome.UNKNOWN,
         cooling_down: bool = False,
     ) -> None:
-        """Give a place back."""
-        taken = outcome is SendOutcome.ACCEPTED
-        turned_away = outcome is SendOutcome.REJECTED
-        link.post(messages.Release(request_id, taken, turned_away, cooling_down))
+        """Release a slot."""
+        accepted = outcome is SendOutcome.ACCEPTED
+        rejected = outcome is SendOutcome.REJECTED
+        link.post(messages.Release(request_id, accepted, rejected, cooling_down))
 
 
 class Caller:
-    """A caller that comes back once; see `direct.types.CallerAnswer`."""
+    """A caller that retries once; see `direct.types.CallerAnswer`."""
 
     def __init__(self, at_s: float):
         self.at_s = at_s
@@ -313,38 +316,38 @@
         self.refused_s: float | None = None
 
     async def start(self, status: int, headers: Headers, length: int | None) -> None:
-        """Note the head of a success."""
+        """Record status and headers of a response."""
         self.started = True
         if status == 200:
             self.first_s = asyncio.get_running_loop().time() - self.at_s
 
     async def write(self, data: bytes) -> None:
-        """Nothing is kept."""
+        """Discard a part of the body."""
 
     async def finish(self) -> None:
-        """Nothing is kept."""
+        """Do nothing at the end of the response."""
 
     def cut(self) -> None:
-        """Count an answer that was cut as none."""
+        """Count an incomplete response as no response."""
         self.first_s = None
 
     @property
     def in_time(self) -> bool:
-        """Whether the answer came within the objective."""
+        """Whether the response began within the objective."""
         return self.first_s is not None and self.first_s <= OBJECTIVE_S
 
 
 class Row(NamedTuple):
-    """What the callers of some seconds got, as shares of them."""
+    """Results of the callers of a time span, as fractions of their number."""
 
-    asked: int
+    request_count: int
     in_time: float
     late: float
     refused: float
     refusal_ms: float
 
 
-class Play:
+class ScenarioRun:
     """One run of a scenario."""
 
     def __init__(self, scenario: Scenario):
@@ -354,21 +357,21 @@
             target.name: target
             for target in (VirtualTarget(scenario, n) for n in range(scenario.targets))
         }
-        self.grantings = {name: granting() for name in self.targets}
+        self.admissions = {name: new_admission() for name in self.targets}
         self.entries = [self.new_entry(n) for n in range(scenario.entries)]
         self.callers: list[Caller] = []
-        self.sends = self.numbers = 0
+        self.sends = self.request_count = 0
 
     def new_entry(self, number: int) -> Dispatcher:
-        """Make one entry that knows all targets."""
+        """Return one entry that has all targets."""
         settings = DirectSettings(
             node_id=f"entry-{number}",
             failure_domain="z",
-            http_listen=NONE,
+            http_listen=NO_ADDRESS,
             fleet_key_file="",
-            listen=NONE,
-            ready_listen=NONE,
-            control=(NONE,),
+            listen=NO_ADDRESS,
+            ready_listen=NO_ADDRESS,
+            control=(NO_ADDRESS,),
             sidecar_port=1,
             retry_ratio=0.2,
             retry_slack=100.0,
@@ -378,7 +381,7 @@
         follower = SimpleNamespace(versions=DesiredVersions(), open_links=list)
         allocator = SlotAllocator(settings, identity, registry, follower)
         if not self.scenario.plain:
-            allocator.sidecars = VirtualSidecars(settings.node_id, self.grantings)
+            allocator.sidecars = VirtualSidecars(settings.node_id, self.admissions)
         dispatcher = Dispatcher(
             settings,
             registry,
@@ -397,8 +400,8 @@
 
     # -- targets ---------------------------------------------------------
 
-    async def beat(self) -> None:
-        """Let control instances tell of all targets that are there."""
+    async def send_heartbeats(self) -> None:
+        """Report all present targets to the entries, as control instances do."""
         for sequence in itertools.count(1):
             now_s = asyncio.get_running_loop().time()
             states = [
@@ -411,37 +414,37 @@
                     slots=PLAIN_SLOTS if target.plain else ENGINE.slots,
                 )
                 for target in self.targets.values()
-                if not (target.turns_away and self.scenario.how == "absent")
+                if not (target.rejects and self.scenario.mode == "absent")
             ]
             for entry in self.entries:
                 entry.registry.update(states, now_s)
-            await asyncio.sleep(BEAT_S)
-
-    async def trouble(self) -> None:
-        """Let a share of the targets turn away for some seconds."""
-        await asyncio.sleep(FROM_S)
-        count = round(self.scenario.share * len(self.targets))
-        chosen = list(self.targets.values())[:count]
-        for target in chosen:
-            target.turns_away = True
-            if self.scenario.how == "absent":
+            await asyncio.sleep(HEARTBEAT_S)
+
+    async def reject_requests(self) -> None:
+        """Make some of the targets reject, or be absent, for some seconds."""
+        await asyncio.sleep(REJECT_FROM_S)
+        count = round(self.scenario.rejecting_fraction * len(self.targets))
+        rejecting = list(self.targets.values())[:count]
+        for target in rejecting:
+            target.rejects = True
+            if self.scenario.mode == "absent":
                 for entry in self.entries:
                     entry.registry.targets.pop(target.name)
-        await asyncio.sleep(TO_S - FROM_S)
-        for target in chosen:
-            target.turns_away = False
+        await asyncio.sleep(REJECT_TO_S - REJECT_FROM_S)
+        for target in rejecting:
+            target.rejects = False
 
     # -- callers ---------------------------------------------------------
 
-    async def ask(self, caller: Caller, prompt: int, events: int) -> None:
-        """Ask, and come back once after a refusal."""
+    async def send(self, caller: Caller, prompt: int, events: int) -> None:
+        """Send a request, and retry once after a refusal."""
         loop = asyncio.get_running_loop()
         for _ in range(2):
             entry = self.rng.choice(self.entries)
-            self.numbers += 1
-            left_s = caller.at_s + PATIENCE_S - loop.time()
+            self.request_count += 1
+            left_s = caller.at_s + MAX_WAIT_S - loop.time()
             request = CallerRequest(
-                f"q{self.numbers}",
+                f"q{self.request_count}",
                 "POST",
                 "/",
                 "h",
@@ -461,66 +464,73 @@
             await asyncio.sleep(refusal.retry_s)
 
     async def run(self) -> None:
-        """Play the scenario."""
+        """Run the scenario."""
         loop = asyncio.get_running_loop()
-        helpers = [loop.create_task(self.beat()), loop.create_task(self.trouble())]
-        helpers += [loop.create_task(g.advance_loop()) for g in self.grantings.values()]
-        asks = []
-        while loop.time() < SECONDS:
+        background_tasks = [
+            loop.create_task(self.send_heartbeats()),
+            loop.create_task(self.reject_requests()),
+        ]
+        background_tasks += [
+            loop.create_task(g.advance_loop()) for g in self.admissions.values()
+        ]
+        caller_tasks = []
+        while loop.time() < DURATION_S:
             kind = self.rng.choices(MIX.kinds, [k.relative_rate for k in MIX.kinds])[0]
             caller = Caller(loop.time())
             self.callers.append(caller)
-            asks.append(loop.create_task(self.ask(caller, *draw_sizes(self.rng, kind))))
+            caller_tasks.append(
+                loop.create_task(self.send(caller, *draw_sizes(self.rng, kind)))
+            )
             await asyncio.sleep(self.rng.expovariate(self.scenario.per_s))
-        await asyncio.gather(*asks)
-        for helper in helpers:
-            helper.cancel()
+        await asyncio.gather(*caller_tasks)
+        for task in background_tasks:
+            task.cancel()
 
     def row(self, from_s: float, to_s: float) -> Row:
-        """Sum up what callers of some seconds got."""
+        """Return the results of the callers of a time span."""
         callers = [c for c in self.callers if from_s <= c.at_s < to_s]
         served = [c for c in callers if c.first_s is not None]
         in_time = sum(c.in_time for c in callers)
         refusals = [c.refused_s for c in callers if c.refused_s is not None]
-        asked = len(callers)
+        request_count = len(callers)
         return Row(
-            asked,
-            in_time / asked,
-            (len(served) - in_time) / asked,
-            (asked - len(served)) / asked,
+            request_count,
+            in_time / request_count,
+            (len(served) - in_time) / request_count,
+            (request_count - len(served)) / request_count,
             1000 * sum(refusals) / max(1, len(refusals)),
         )
 
 
-def granting() -> SlotAdmission:
-    """Make an open queue of one engine's places."""
-    knowledge = SimpleNamespace(held_version=lambda: 1, is_near=lambda link: False)
-    made = SlotAdmission(knowledge)
-    made.server = SimpleNamespace(links=())
-    made.slots.engine = ENGINE
-    made.slots.open = True
-    return made
+def new_admission() -> SlotAdmission:
+    """Return the open slot admission of one engine."""
+    rollout_state = SimpleNamespace(held_version=lambda: 1, is_near=lambda link: False)
+    created = SlotAdmission(rollout_state)
+    created.server = SimpleNamespace(links=())
+    created.slots.engine = ENGINE
+    created.slots.open = True
+    return created
 
 
-def play(scenario: Scenario) -> Play:
-    """Run a scenario on a clock of its own."""
-    made: list[Play] = []
+def run_scenario(scenario: Scenario) -> ScenarioRun:
+    """Run a scenario on a virtual clock."""
+    created: list[ScenarioRun] = []
 
     async def run() -> None:
-        made.append(Play(scenario))
-        await made[0].run()
+        created.append(ScenarioRun(scenario))
+        await created[0].run()
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(run())
-    return made[0]
+    return created[0]
 
 
 def scenarios(seed: int) -> Iterator[Scenario]:
-    """Yield all rows of the table."""
+    """Yield the scenario of each row of the table."""
     sizes = itertools.product((True, False), (1, 6, 30), (1 / 6, 0.5, 1.0))
-    for plain, entries, share in sizes:
-        for how in ("rest", "no rest", "absent"):
-            yield Scenario(plain, entries, share, how, seed=seed)
+    for plain, entries, rejecting_fraction in sizes:
+        for mode in ("rest", "no rest", "absent"):
+            yield Scenario(plain, entries, rejecting_fraction, mode, seed=seed)
 
 
 def main() -> None:
@@ -534,14 +544,21 @@
     )
     print("| --- " * 11 + "|")
     for scenario in scenarios(options.seed):
-        played = play(scenario)
-        during, after = played.row(FROM_S, TO_S), played.row(TO_S, TO_S + AFTER_S)
-        away = sum(t.sent_away for t in played.targets.values()) / during.asked
+        finished = run_scenario(scenario)
+        during, after = (
+            finished.row(REJECT_FROM_S, REJECT_TO_S),
+            finished.row(REJECT_TO_S, REJECT_TO_S + RECOVERY_S),
+        )
+        rejections_per_request = (
+            sum(t.rejected for t in finished.targets.values()) / during.request_count
+        )
         print(
             f"| {'plain' if scenario.plain else 'engines'} | {scenario.entries}"
-            f" | {scenario.share:.2f} | {scenario.how} | {during.in_time:.3f}"
+            f" | {scenario.rejecting_fraction:.2f} | {scenario.mode}"
+            f" | {during.in_time:.3f}"
             f" | {during.late:.3f} | {during.refused:.3f} | {during.refusal_ms:.1f}"
-            f" | {away:.3f} | {after.in_time:.3f} | {after.refused:.3f} |",
+            f" | {rejections_per_request:.3f}"
+            f" | {after.in_time:.3f} | {after.refused:.3f} |",
             flush=True,
         )
 
--- a/bench/virtual_burst.py
+++ b/bench/virtual_burst.py
@@ -1,8 +1,8 @@
-"""The schedule in virtual time: the same decision code, without sockets.
+"""Simulation of a burst in virtual time: the real schedule, without sockets.
 
-Each instance's link carries one chunk at a time, received ones first; the
-origin's link likewise. It tests the schedule at sizes that one machine cannot
-run as processes; links, failures and processes are not modelled.
+Each instance's link carries one chunk at a time, received chunks first; the origin's
+link carries one chunk at a time as well. This tests the schedule at sizes that one
+machine can't run as processes. Links, failures and processes are not modelled.
 """
 
 import argparse
@@ -22,11 +22,11 @@
 
 WINDOW_MS = 10_000.0
 ONE_WAY_MS = 1.0
-TELL_MS = 50.0
-TICK_MS = 50.0
+ANNOUNCE_DELAY_MS = 50.0
+DECISION_TICK_MS = 50.0
 NEIGHBOURS = 8
-PATIENCE_MS = 2_000.0
-# One process plays all members here, so it weighs each of them once.
+RANK_DELAY_MS = 2_000.0
+# All members run in this process, so each weight is computed only once.
 seeders_module.rendezvous_weights = lru_cache(maxsize=None)(
     seeders_module.rendezvous_weights
 )
@@ -34,7 +34,7 @@
 
 
 class VirtualResult(NamedTuple):
-    """Outcome of a run; seconds are windows, so 1.0 is one window."""
+    """Result of a run; its duration is in windows."""
 
     nodes: int
     chunks: int
@@ -46,7 +46,7 @@
 
 
 class VirtualNode:
-    """One instance: its schedule and its link."""
+    """One instance with its schedule and its link."""
 
     def __init__(self, burst: "VirtualBurst", peer: Peer):
         self.burst = burst
@@ -54,84 +54,90 @@
         self.neighbours: set[str] = set()
         self.inbound: deque = deque()
         self.outbound: deque = deque()
-        self.sending = False
-        self.news: list[int] = []
-        self.woken = False
-        self.dead = False
-
-    def step(self) -> None:
-        """Let the link carry the next chunk, received ones first."""
-        if self.sending or not (self.inbound or self.outbound):
+        self.busy = False
+        self.new_chunks: list[int] = []
+        self.decision_pending = False
+        self.is_dead = False
+
+    def start_transfer(self) -> None:
+        """Start to carry the next chunk on the link, received chunks first."""
+        if self.busy or not (self.inbound or self.outbound):
             return
-        self.sending = True
-        job = self.inbound.popleft() if self.inbound else self.outbound.popleft()
-        self.burst.after(self.burst.chunk_ms, self.carried, job)
-
-    def carried(self, job) -> None:
-        """Note that the link has carried a chunk."""
-        self.sending = False
-        kind, node, fetch = job
+        self.busy = True
+        transfer = self.inbound.popleft() if self.inbound else self.outbound.popleft()
+        self.burst.call_later(self.burst.chunk_ms, self.finish_transfer, transfer)
+
+    def finish_transfer(self, transfer) -> None:
+        """Deliver a chunk that the link has carried and start the next one."""
+        self.busy = False
+        kind, node, fetch = transfer
         if kind == "receive":
-            self.receive(fetch)
-        elif not node.dead:
+            self.receive_chunk(fetch)
+        elif not node.is_dead:
             node.inbound.append(("receive", node, fetch))
-            node.step()
-        self.step()
+            node.start_transfer()
+        self.start_transfer()
 
-    def receive(self, fetch: Fetch) -> None:
-        """Take a chunk in and tell the neighbours soon."""
+    def receive_chunk(self, fetch: Fetch) -> None:
+        """Record a received chunk and announce it to the neighbours soon."""
         burst = self.burst
         self.schedule.record_success(fetch, burst.now_ms)
-        if not self.news:
-            burst.after(TELL_MS, self.tell)
-        self.news.append(fetch.index)
+        if not self.new_chunks:
+            burst.call_later(ANNOUNCE_DELAY_MS, self.announce_chunks)
+        self.new_chunks.append(fetch.index)
         if self.schedule.complete:
             burst.finished_ms = burst.now_ms
-            burst.waiting.discard(self.peer.node_id)
-        self.wake()
+            burst.unfinished.discard(self.peer.node_id)
+        self.schedule_decision()
 
-    def tell(self) -> None:
-        """Tell the neighbours of new chunks."""
-        news, self.news = self.news, []
+    def announce_chunks(self) -> None:
+        """Announce new chunks to the neighbours."""
+        new_chunks, self.new_chunks = self.new_chunks, []
         for name in self.neighbours:
             node = self.burst.nodes[name]
-            if not node.schedule.complete and not node.dead:
-                self.burst.after(ONE_WAY_MS, node.hear, self.peer.node_id, news)
-
-    def hear(self, node_id: str, news: list[int]) -> None:
-        """Hear of a neighbour's new chunks."""
-        self.schedule.add_have(node_id, news, self.burst.now_ms)
-        self.wake()
-
-    def wake(self) -> None:
-        """Decide again, once for all that happened at this moment."""
-        if not self.woken and not self.schedule.complete and not self.dead:
-            self.woken = True
-            self.burst.after(0.5, self.decide)
+            if not node.schedule.complete and not node.is_dead:
+                self.burst.call_later(
+                    ONE_WAY_MS, node.record_announcement, self.peer.node_id, new_chunks
+                )
+
+    def record_announcement(self, node_id: str, new_chunks: list[int]) -> None:
+        """Record a neighbour's new chunks."""
+        self.schedule.add_have(node_id, new_chunks, self.burst.now_ms)
+        self.schedule_decision()
+
+    def schedule_decision(self) -> None:
+        """Schedule one decision for all events of this moment."""
+        if (
+            not self.decision_pending
+            and not self.schedule.complete
+            and not self.is_dead
+        ):
+            self.decision_pending = True
+            self.burst.call_later(0.5, self.decide)
 
     def decide(self) -> None:
-        """Start what the schedule says."""
-        self.woken = False
-        begun = time.perf_counter()
+        """Start the fetches that the schedule returns."""
+        self.decision_pending = False
+        started = time.perf_counter()
         fetches = self.schedule.next_fetches(self.burst.now_ms)
-        self.burst.decisions_s += time.perf_counter() - begun
+        self.burst.decisions_s += time.perf_counter() - started
         for fetch in fetches:
             if fetch.source == ORIGIN:
-                self.burst.ask_origin(self, fetch)
+                self.burst.request_from_origin(self, fetch)
             else:
                 node = self.burst.nodes[fetch.source]
-                self.burst.after(ONE_WAY_MS, node.asked, self, fetch)
+                self.burst.call_later(ONE_WAY_MS, node.queue_request, self, fetch)
 
-    def asked(self, node: "VirtualNode", fetch: Fetch) -> None:
-        """Queue a chunk that a neighbour asked for."""
+    def queue_request(self, node: "VirtualNode", fetch: Fetch) -> None:
+        """Queue a chunk that a neighbour requested."""
         self.outbound.append(("send", node, fetch))
-        self.step()
+        self.start_transfer()
 
     def tick(self) -> None:
-        """Decide from time to time, because turns come with time."""
-        if not self.schedule.complete and not self.dead:
-            self.wake()
-            self.burst.after(TICK_MS * 4, self.tick)
+        """Decide periodically, because ranks become due as time passes."""
+        if not self.schedule.complete and not self.is_dead:
+            self.schedule_decision()
+            self.burst.call_later(DECISION_TICK_MS * 4, self.tick)
 
 
 class VirtualBurst:
@@ -149,12 +155,12 @@
         self.origin_free_ms = 0.0
         self.origin_chunks = 0
         self.events: list = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
         rng = random.Random(seed)
         peers = [Peer(f"n{i}", f"d{i % domains}") for i in range(nodes)]
         digests = [f"{rng.getrandbits(256):064x}" for _ in range(chunks)]
         self.nodes = {peer.node_id: VirtualNode(self, peer) for peer in peers}
-        self.waiting = set(self.nodes)
+        self.unfinished = set(self.nodes)
         for node in self.nodes.values():
             for name in choose_neighbours(node.peer, peers, NEIGHBOURS):
                 node.neighbours.add(name)
@@ -165,63 +171,64 @@
                 seeders,
                 digests,
                 distribution,
-                PATIENCE_MS,
+                RANK_DELAY_MS,
                 random.Random(node.peer.node_id),
                 0.0,
             )
 
-    def after(self, delay_ms: float, call, *arguments) -> None:
-        """Call something later."""
-        event = (self.now_ms + delay_ms, next(self.order), call, arguments)
+    def call_later(self, delay_ms: float, function, *arguments) -> None:
+        """Schedule a function call after a delay."""
+        event = (self.now_ms + delay_ms, next(self.sequence), function, arguments)
         heapq.heappush(self.events, event)
 
-    def ask_origin(self, node: VirtualNode, fetch: Fetch) -> None:
-        """Let the origin's link carry a chunk."""
+    def request_from_origin(self, node: VirtualNode, fetch: Fetch) -> None:
+        """Queue a chunk on the origin's link."""
         self.origin_chunks += 1
         start_ms = max(self.origin_free_ms, self.now_ms + ONE_WAY_MS)
         self.origin_free_ms = start_ms + self.chunk_ms / 2
-        node_call = self.from_origin
-        self.after(self.origin_free_ms - self.now_ms, node_call, node, fetch)
+        callback = self.deliver_from_origin
+        self.call_later(self.origin_free_ms - self.now_ms, callback, node, fetch)
 
-    def from_origin(self, node: VirtualNode, fetch: Fetch) -> None:
-        """Hand a chunk from the origin to the instance's link."""
+    def deliver_from_origin(self, node: VirtualNode, fetch: Fetch) -> None:
+        """Queue a chunk from the origin on the instance's link."""
         node.inbound.append(("receive", node, fetch))
-        node.step()
+        node.start_transfer()
 
     def kill(self, node_id: str) -> None:
-        """Kill an instance: its links close at once."""
+        """Kill an instance; its links close immediately."""
         node = self.nodes[node_id]
-        node.dead = True
-        self.waiting.discard(node_id)
+        node.is_dead = True
+        self.unfinished.discard(node_id)
         for name in node.neighbours:
             neighbour = self.nodes[name]
             neighbour.schedule.drop_peer(node_id, self.now_ms)
             neighbour.neighbours.discard(node_id)
 
     def run(self) -> VirtualResult:
-        """Run until every instance that lives holds the version."""
+        """Run until every live instance holds the version."""
         for node in self.nodes.values():
-            self.after(0.0, node.decide)
-            self.after(TICK_MS, node.tick)
-        while self.waiting and self.events:
-            self.now_ms, _, call, arguments = heapq.heappop(self.events)
-            call(*arguments)
+            self.call_later(0.0, node.decide)
+            self.call_later(DECISION_TICK_MS, node.tick)
+        while self.unfinished and self.events:
+            self.now_ms, _, function, arguments = heapq.heappop(self.events)
+            function(*arguments)
         windows = self.finished_ms / WINDOW_MS
         return VirtualResult(
             len(self.nodes),
             self.chunks,
             self.distribution,
             round(windows, 4),
-            round(windows / bound(len(self.nodes), self.distribution), 4),
+            round(windows / min_windows(len(self.nodes), self.distribution), 4),
             round(self.origin_chunks / self.chunks, 4),
             round(self.decisions_s, 2),
         )
 
 
-def bound(nodes: int, distribution: str) -> float:
-    """Return the least time of a burst, in windows.
+def min_windows(nodes: int, distribution: str) -> float:
+    """Return the lower bound of the duration of a burst, in windows.
 
-    Instance link 2 copies a window, up and down together; origin link 4.
+    Per window, the link of an instance carries 2 copies, both directions together,
+    and the link of the origin carries 4.
     """
     if distribution == "origin_bytes":
         return max(0.5, (2 * nodes - 1.1) / (2 * nodes))
@@ -229,7 +236,7 @@
 
 
 def main() -> int:
-    """Run the sizes of the plan."""
+    """Run bursts of the given sizes and print the results."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--nodes", type=int, nargs="*", default=[64, 820])
     parser.add_argument("--chunks", type=int, default=128)
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -170,5 +170,5 @@
         first = min(burst.nodes.values(), key=lambda n: n.schedule.seeders.rank(digest))
         burst.kill(first.peer.node_id)
         result = burst.run()
-        assert not burst.waiting
+        assert not burst.unfinished
         assert result.origin_copies <= 1.5
