--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -58,7 +58,7 @@
         assert all(result.in_time for result in results)
 
     def test_account_at_ten_times_its_share_does_not_affect_others(self):
-        mix = [ACCOUNTS[0]._replace(share=10.0), *ACCOUNTS[1:]]
+        mix = [ACCOUNTS[0]._replace(relative_rate=10.0), *ACCOUNTS[1:]]
         got = Counter(r.work.account for r in serve(mix, 2.0) if r.in_time)
         asked = Counter(r.work.account for r in serve(mix, 2.0))
         for account in ("a1", "a2", "a3"):
