--- a/bench/turned_away.py
+++ b/bench/turned_away.py
@@ -245,7 +245,7 @@
             lambda: loop.create_task(self.admission.receive(message, self, frame)),
         )
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Do nothing; the load is read from the sidecar directly."""
 
 
