--- a/src/wisteriapulley/consensus/files.py
+++ b/src/wisteriapulley/consensus/files.py
@@ -144,8 +144,8 @@
 
     The data does not outlive a crash, so nothing is synced. Files are written in place,
     because the temporary folder of the platform does not support renames. It does not
-    support locks either: an instance that requested one failed at every start. No lock
-    is needed, because the process created the folder under a unique name.
+    support locks either: an instance that requests one fails at every start. No lock is
+    needed, because the process creates the folder under a unique name.
     """
 
     def fsync(self, descriptor: int) -> None:
--- a/src/wisteriapulley/control/driver.py
+++ b/src/wisteriapulley/control/driver.py
@@ -36,6 +36,7 @@
 
 log = logging.getLogger(__name__)
 
+# Shortest delay between two ticks of the replica.
 MIN_TICK_S = 0.02
 # A leader whose disk takes longer for one sync steps down: it can't acknowledge
 # anything, and the others elect a leader within two seconds.
@@ -86,7 +87,7 @@
     state : ControlState
         State machine that committed commands are applied to.
     peers : dict
-        Link keeper by node id.
+        Connection to each peer by node id.
     on_applied : callable
         Called with the result of each applied command.
     on_fatal : callable
@@ -136,7 +137,7 @@
             self.suspend(self.storage.failure)
         self.syncing_since_ms: float | None = None
         # Newest link that a peer opened to this instance, by node id. It may be open
-        # before this instance's own keeper has connected.
+        # before this instance's own connection has connected.
         self.accepted_links: dict[str, Link] = {}
 
     def new_replica(self, identity: DiskIdentity, since_ms: float) -> Replica:
@@ -189,7 +190,8 @@
     def tick_delay_s(self) -> float:
         """Return the delay until the replica's next deadline.
 
-        A fixed interval of MIN_TICK_S took most of an idle instance's processor time.
+        A fixed interval of `MIN_TICK_S` would take most of an idle instance's processor
+        time.
         """
         replica = self.replica
         deadline_ms = (
@@ -199,8 +201,8 @@
             # Otherwise an idle instance saves the commit index only at its next tick,
             # up to MAX_TICK_S late, and a stop before that loses it.
             deadline_ms = min(deadline_ms, self.next_commit_save_ms)
-        pause_s = (deadline_ms - steady_ms()) / 1000
-        return min(max(pause_s, MIN_TICK_S), MAX_TICK_S)
+        delay_s = (deadline_ms - steady_ms()) / 1000
+        return min(max(delay_s, MIN_TICK_S), MAX_TICK_S)
 
     @property
     def commit_index_unsaved(self) -> bool:
@@ -401,8 +403,8 @@
 
     def link_to(self, node_id: str) -> Link | None:
         """Return an open link to a peer, in whichever direction it was opened."""
-        keeper = self.peers.get(node_id)
-        link = keeper.open_link if keeper is not None else None
+        connection = self.peers.get(node_id)
+        link = connection.open_link if connection is not None else None
         if link is not None:
             return link
         accepted = self.accepted_links.get(node_id)
@@ -528,10 +530,10 @@
             return
         self.replica.transferring_leadership = True
         while self.replica.is_leader and steady_ms() < deadline_ms:
-            asked = self.replica.transfer_leadership()
+            requested = self.replica.transfer_leadership()
             self.wakeup.set()
             await asyncio.sleep(MIN_TICK_S)
-            if asked:
+            if requested:
                 return
         self.replica.transferring_leadership = False
 
--- a/src/wisteriapulley/control/followers.py
+++ b/src/wisteriapulley/control/followers.py
@@ -97,7 +97,7 @@
             broadcast(self.open_links(ENTRY), messages.TargetBeats(heartbeats))
 
     def push_suspects(self, message: messages.SuspectNews) -> None:
-        """Send entries the requests during which targets ended."""
+        """Send entries the requests that are suspected of crashing targets."""
         broadcast(self.open_links(ENTRY), message)
 
     def push_hosts(self, message: messages.ControlNews) -> None:
--- a/src/wisteriapulley/control/following.py
+++ b/src/wisteriapulley/control/following.py
@@ -61,8 +61,8 @@
         When it was last usable.
     """
 
-    def __init__(self, keeper: ReconnectingLink, now_s: float):
-        self.keeper = keeper
+    def __init__(self, connection: ReconnectingLink, now_s: float):
+        self.connection = connection
         self.has_responded = False
         self.connecting_since_s = now_s
         self.last_usable_s = now_s
@@ -72,7 +72,7 @@
 
         An instance that has not had time to respond yet counts as usable.
         """
-        link = self.keeper.open_link
+        link = self.connection.open_link
         if link is None or not self.has_responded:
             return now_s - self.connecting_since_s < FIRST_RESPONSE_TIMEOUT_S
         if link.peer_heartbeat.state == ISOLATED_STATE:
@@ -146,11 +146,11 @@
         # Cleared first, so that links that close now do not start another choice.
         closing, self.followed = self.followed, {}
         for followed in closing.values():
-            await followed.keeper.stop()
+            await followed.connection.stop()
 
     def open_links(self) -> list[Link]:
         """Return the links that are open now."""
-        links = (followed.keeper.open_link for followed in self.followed.values())
+        links = (followed.connection.open_link for followed in self.followed.values())
         return [link for link in links if link is not None]
 
     def publish(self, update: messages.SuspectNews) -> None:
@@ -212,7 +212,7 @@
 
     def connect(self, host: str, now_s: float) -> None:
         """Open and keep a link to an instance."""
-        keeper = ReconnectingLink(
+        connection = ReconnectingLink(
             [Address(host, self.seeds[0].port)],
             self.identity,
             self.handle,
@@ -220,14 +220,14 @@
             self.settings,
             self.link_opened,
         )
-        self.followed[host] = FollowedInstance(keeper, now_s)
-        keeper.start()
+        self.followed[host] = FollowedInstance(connection, now_s)
+        connection.start()
 
     def disconnect(self, host: str) -> None:
         """Close the link to an instance, since nearer ones are usable."""
         log.info("control instance no longer followed", extra=fields(peer=host))
-        keeper = self.followed.pop(host).keeper
-        task = asyncio.get_running_loop().create_task(keeper.stop())
+        connection = self.followed.pop(host).connection
+        task = asyncio.get_running_loop().create_task(connection.stop())
         task.add_done_callback(lambda done: done.exception())
 
     # -- updates ---------------------------------------------------------
@@ -248,7 +248,7 @@
 
     def followed_over(self, link: Link) -> FollowedInstance | None:
         """Return the followed instance at the other end of a link, or None."""
-        found = (f for f in self.followed.values() if f.keeper.link is link)
+        found = (f for f in self.followed.values() if f.connection.link is link)
         return next(found, None)
 
     def link_closed(self, link: Link) -> None:
@@ -336,18 +336,20 @@
         now_s = steady_s()
         for state in message.models:
             self.engines[state.service] = engine_of(state)
-            for named in state.named:
-                self.record_version(state.model, named, now_s)
+            for desired in state.named:
+                self.record_version(state.model, desired, now_s)
         self.on_models()
 
     def record_version(
-        self, model: str, named: messages.VersionAge, now_s: float
+        self, model: str, desired: messages.VersionAge, now_s: float
     ) -> None:
         """Record a desired version and the earliest time at which it was accepted."""
-        if self.versions.record(model, named.version, now_s - named.age_ms / 1000):
+        if self.versions.record(model, desired.version, now_s - desired.age_ms / 1000):
             log.info(
                 "weights named",
-                extra=fields(model=model, version=named.version, age_ms=named.age_ms),
+                extra=fields(
+                    model=model, version=desired.version, age_ms=desired.age_ms
+                ),
             )
 
     @receive.register
@@ -364,10 +366,11 @@
     def receive_hosts(self, message: messages.ControlNews) -> None:
         """Handle the message `ControlNews`."""
         domains = message.failure_domains or ("",) * len(message.hosts)
-        named = zip(message.hosts, domains, strict=True)
+        host_domains = zip(message.hosts, domains, strict=True)
         # One instance may not know a failure domain that another one has reported.
         reported = {
-            host: domain or self.instances.get(host, "") for host, domain in named
+            host: domain or self.instances.get(host, "")
+            for host, domain in host_domains
         }
         seeds = {seed.host: self.instances.get(seed.host, "") for seed in self.seeds}
         self.instances = seeds | reported
--- a/src/wisteriapulley/control/members.py
+++ b/src/wisteriapulley/control/members.py
@@ -150,7 +150,7 @@
                 expires_ms=min(record.expires_ms, expires_ms)
             )
 
-    # -- both ------------------------------------------------------------
+    # -- all members -----------------------------------------------------
 
     def sweep(self, now_ms: float) -> Changes:
         """Drop every expired record and return the changes."""
--- a/src/wisteriapulley/control/nearest.py
+++ b/src/wisteriapulley/control/nearest.py
@@ -19,7 +19,7 @@
 # Instances that do not respond are tried beside them, at most this many at once: the
 # outage of a whole region is skipped in one step, and after an outage of all
 # instances there is no connection storm.
-MAX_UNANSWERED = 5
+MAX_UNRESPONSIVE = 5
 
 
 def by_nearness(
@@ -68,7 +68,7 @@
 
 
 def instances_to_follow(
-    order: Iterable[str], answers: Callable[[str], bool]
+    order: Iterable[str], is_usable: Callable[[str], bool]
 ) -> list[str]:
     """Return the first instances of an order that include enough usable ones.
 
@@ -76,17 +76,17 @@
     ----------
     order : iterable of str
         Hosts, best first.
-    answers : callable
+    is_usable : callable
         Returns whether a host sends updates, or its first connection is being made.
     """
     chosen: list[str] = []
-    answering = 0
+    usable = 0
     for host in order:
         if (
-            answering == FOLLOWED_INSTANCES
-            or len(chosen) == FOLLOWED_INSTANCES + MAX_UNANSWERED
+            usable == FOLLOWED_INSTANCES
+            or len(chosen) == FOLLOWED_INSTANCES + MAX_UNRESPONSIVE
         ):
             break
         chosen.append(host)
-        answering += answers(host)
+        usable += is_usable(host)
     return chosen
--- a/src/wisteriapulley/control/publisher.py
+++ b/src/wisteriapulley/control/publisher.py
@@ -121,7 +121,7 @@
             if self.versions.record(model, version, steady_ms()):
                 self.on_new_weights(model, version)
         states = [
-            state._replace(named=tuple(named.version for named in state.named))
+            state._replace(named=tuple(desired.version for desired in state.named))
             for state in self.models_message().models
         ]
         changed, self.published_models = states != self.published_models, states
@@ -139,10 +139,12 @@
         """
         now_ms = steady_ms()
         new = [
-            (state.model, named.version)
+            (state.model, desired.version)
             for state in message.models
-            for named in state.named
-            if self.versions.record(state.model, named.version, now_ms - named.age_ms)
+            for desired in state.named
+            if self.versions.record(
+                state.model, desired.version, now_ms - desired.age_ms
+            )
         ]
         for key in new:
             self.on_new_weights(*key)
--- a/src/wisteriapulley/control/quorum_members.py
+++ b/src/wisteriapulley/control/quorum_members.py
@@ -78,7 +78,7 @@
                 f"expected one of {replica.members.node_ids()}, got {node_id!r}",
             )
         if node_id == replica.node_id and len(replica.members.voters) > 1:
-            await self.service.driver.hand_over()
+            await self.service.driver.transfer_leadership()
             raise no_quorum(
                 f"{node_id} transferred its leadership; send the request again"
             )
--- a/src/wisteriapulley/control/rate_owner.py
+++ b/src/wisteriapulley/control/rate_owner.py
@@ -23,7 +23,8 @@
 GRANTED_FRACTION = 0.75
 # A running owner responds within a round trip between regions.
 FORWARD_TIMEOUT_S = 0.1
-# Retry delay if the owner did not respond: by then there is another, or it is back.
+# Retry delay if the owner did not respond: by then another instance owns the limit, or
+# the owner responds again.
 OWNER_LOST_RETRY_MS = 500
 
 
--- a/src/wisteriapulley/control/reports.py
+++ b/src/wisteriapulley/control/reports.py
@@ -60,15 +60,15 @@
     def update(self, report: Report, now_ms: float) -> None:
         """Replace the report and update the rate."""
         elapsed_ms = now_ms - self.progressed_at_ms
-        copied = report.bytes_done - self.report.bytes_done
-        if report.desired != self.report.desired or copied < 0:
+        downloaded = report.bytes_done - self.report.bytes_done
+        if report.desired != self.report.desired or downloaded < 0:
             self.bytes_per_ms = 0.0
-        elif copied and elapsed_ms > 0:
-            rate = copied / elapsed_ms
+        elif downloaded and elapsed_ms > 0:
+            rate = downloaded / elapsed_ms
             first = not self.bytes_per_ms
             weight = 1.0 if first else RATE_SMOOTHING
             self.bytes_per_ms += weight * (rate - self.bytes_per_ms)
-        if copied or report.desired != self.report.desired:
+        if downloaded or report.desired != self.report.desired:
             self.progressed_at_ms = now_ms
         self.report = report
 
--- a/src/wisteriapulley/control/service.py
+++ b/src/wisteriapulley/control/service.py
@@ -329,7 +329,10 @@
             known_link is not None
             and known_link.peer.incarnation > link.peer.incarnation
         ):
-            log.warning("two processes announce the node id %s", message.node_id)
+            log.warning(
+                "two processes announce the node id %s; the newer one is used",
+                message.node_id,
+            )
             return
         self.member_links[message.node_id] = link
         self.publish_member_changes(self.members.record_announcement(message))
--- a/src/wisteriapulley/control/suspect_feed.py
+++ b/src/wisteriapulley/control/suspect_feed.py
@@ -1,4 +1,4 @@
-"""Forwards crash suspects, the requests during which targets ended, to all entries."""
+"""Forwards crash suspects, the requests that ran when targets ended, to all entries."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,9 +9,9 @@
 from wisteriapulley.policy.token_bucket import TokenBucket
 from wisteriapulley.wire import Link, messages
 
-# Rate and burst at which one instance forwards suspects during which only one target
+# Rate and burst at which one instance forwards suspects under which only one target
 # ended. If hundreds of targets end together, each of their thousands of requests is a
-# suspect, and each would be sent to each entry. A suspect during which more targets
+# suspect, and each would be sent to each entry. A suspect under which more targets
 # ended is always forwarded.
 NEW_SUSPECTS_PER_S = 100.0
 NEW_SUSPECTS_BURST = 300.0
--- a/src/wisteriapulley/control/targets.py
+++ b/src/wisteriapulley/control/targets.py
@@ -12,7 +12,7 @@
 from wisteriapulley.wire.messages import TargetBeat, TargetState
 
 # A target that ended is remembered as gone for this long, so that its late
-# announcements do not bring it back. Longer than the delay of any heartbeat seen.
+# announcements do not bring it back. It is longer than the delay of any heartbeat.
 GONE_RETENTION_MS = 60_000.0
 # For this long the end of a target is repeated, for those that missed the message.
 GONE_REPEAT_MS = 5000.0
@@ -181,7 +181,7 @@
 
     A later incarnation supersedes everything before it: a target that was leaving or
     gone is back, and its sequence starts anew. An announcement of the same incarnation
-    with another service or address is not the target's own. A message that a target
+    with another service or address was sent by another process. A message that a target
     is gone has no incarnation, and refers to the recorded one.
     """
     if state.gone and not state.started_ms:
--- a/src/wisteriapulley/direct/dispatch.py
+++ b/src/wisteriapulley/direct/dispatch.py
@@ -80,7 +80,7 @@
         Retry budgets by service.
     entry_count : int
         Largest number of entries in the fleet seen so far.
-    returning : dict of str to RetryDetector
+    retry_detectors : dict of str to RetryDetector
         Detects retries of refused callers, by route.
     """
 
@@ -106,7 +106,9 @@
         self.has_table = asyncio.Event()
         self.retry_budgets: dict[str, SharedRetryBudget] = {}
         self.entry_count = 0
-        self.returning: defaultdict[str, RetryDetector] = defaultdict(RetryDetector)
+        self.retry_detectors: defaultdict[str, RetryDetector] = defaultdict(
+            RetryDetector
+        )
         self.random = random.Random(settings.node_id)
 
     def set_table(self, table: RoutingTable) -> None:
@@ -147,8 +149,8 @@
         # The route's limit applies to a caller without a deadline or with a longer one.
         limit_s = min(route.timeout_ms / 1000, request.max_wait_s)
         arrived_s = request.arrived_s
-        returned = self.returning[route.name].is_retry(limit_s, arrived_s)
-        return Admitted(request, route, account, arrived_s + limit_s, returned)
+        is_retry = self.retry_detectors[route.name].is_retry(limit_s, arrived_s)
+        return Admitted(request, route, account, arrived_s + limit_s, is_retry)
 
     def refuse_unlisted(self, kind: RefusalKind, reason: str) -> Refusal:
         """Refuse a request whose route or key is not in the routing table.
@@ -196,7 +198,7 @@
         if refusal is None:
             return None
         if refusal.kind in SPREAD_RETRY_KINDS:
-            self.returning[admitted.route.name].record_refusal(self.now_s())
+            self.retry_detectors[admitted.route.name].record_refusal(self.now_s())
         if answer.started:
             log.warning(
                 "answer cut",
@@ -310,7 +312,7 @@
                 outstanding=target.outstanding,
                 heard_ms=int((now_s - target.last_seen_s) * 1000),
                 waited_ms=int((now_s - admitted.request.arrived_s) * 1000),
-                returned=admitted.returned,
+                returned=admitted.is_retry,
             ),
         )
 
--- a/src/wisteriapulley/direct/progress.py
+++ b/src/wisteriapulley/direct/progress.py
@@ -21,7 +21,7 @@
         Client account of its key, if any.
     deadline_s : float
         When it times out, by the caller's or the route's limit, on the loop's clock.
-    returned : bool
+    is_retry : bool
         Whether it is a retry after a refusal, which can't meet its objective any more.
     """
 
@@ -29,7 +29,7 @@
     route: Route
     account: Account | None
     deadline_s: float
-    returned: bool = False
+    is_retry: bool = False
 
     @property
     def priority(self) -> int:
--- a/src/wisteriapulley/direct/registry.py
+++ b/src/wisteriapulley/direct/registry.py
@@ -334,11 +334,11 @@
         is_last : bool
             Whether the request can't be sent again if it is rejected.
         """
-        heard_s = self.liveness_cutoff_s(now_s)
+        cutoff_s = self.liveness_cutoff_s(now_s)
         return [
             target
             for target in self.of_service(service)
-            if target.last_seen_s > heard_s and not target.wait_s(now_s, is_last)
+            if target.last_seen_s > cutoff_s and not target.wait_s(now_s, is_last)
         ]
 
     def liveness_cutoff_s(self, now_s: float) -> float:
@@ -355,8 +355,8 @@
         The result is 0 if a target accepts requests now, or if none is throttled:
         unreachable targets may return at any time.
         """
-        heard_s = self.liveness_cutoff_s(now_s)
-        alive = [t for t in self.of_service(service) if t.last_seen_s > heard_s]
+        cutoff_s = self.liveness_cutoff_s(now_s)
+        alive = [t for t in self.of_service(service) if t.last_seen_s > cutoff_s]
         if not any(target.throttled_s(now_s, is_last) for target in alive):
             return 0.0
         wait_s = min(target.wait_s(now_s, is_last) for target in alive)
--- a/src/wisteriapulley/direct/sidecars.py
+++ b/src/wisteriapulley/direct/sidecars.py
@@ -58,7 +58,7 @@
 
     Attributes
     ----------
-    keepers : dict of str to ReconnectingLink
+    connections : dict of str to ReconnectingLink
         Links by host.
     selected_hosts : set of str
         Hosts of the sidecars to request slots from; see `policy.subset`.
@@ -78,7 +78,7 @@
         self.registry = registry
         self.member = Member(identity.node_id, settings.failure_domain)
         self.regions = Regions(settings.failure_domain_regions)
-        self.keepers: dict[str, ReconnectingLink] = {}
+        self.connections: dict[str, ReconnectingLink] = {}
         self.selected_hosts: set[str] = set()
         self.pending: Counter[str] = Counter()
         self.answer_times = AnswerTimes()
@@ -91,9 +91,9 @@
         self.selected_hosts = {
             host for service in services for host in self.hosts_of(service)
         }
-        for host in self.selected_hosts - set(self.keepers):
+        for host in self.selected_hosts - set(self.connections):
             address = Address(host, self.settings.sidecar_port)
-            keeper = ReconnectingLink(
+            connection = ReconnectingLink(
                 [address],
                 self.identity,
                 self.handle,
@@ -101,8 +101,8 @@
                 self.settings,
                 functools.partial(self.link_opened, host),
             )
-            self.keepers[host] = keeper
-            keeper.start()
+            self.connections[host] = connection
+            connection.start()
 
     async def link_opened(self, host: str, link: Link) -> None:
         """Reduce heartbeats on a new link, and report rates before any slot request.
@@ -135,24 +135,27 @@
         When a link closes, the sidecar releases all slots granted over it.
         """
         busy = {t.host for t in self.registry.targets.values() if t.outstanding}
-        for host in set(self.keepers) - self.selected_hosts - busy:
+        for host in set(self.connections) - self.selected_hosts - busy:
             self.stalled_since_s.pop(host, None)
             self.answer_times.forget(host)
-            await self.keepers.pop(host).stop()
+            await self.connections.pop(host).stop()
 
     async def stop(self) -> None:
         """Close all links."""
-        for keeper in self.keepers.values():
-            await keeper.stop()
+        for connection in self.connections.values():
+            await connection.stop()
 
     async def handle(self, link: Link, frame: Frame) -> None:
         """Log an unsolicited frame; sidecars send none."""
-        log.warning("unexpected message %s", type(frame.message).__name__)
+        log.warning(
+            "unexpected message %s: sidecars send only replies",
+            type(frame.message).__name__,
+        )
 
     def link_to(self, target: Target) -> Link | None:
         """Return the open link to a target's sidecar."""
-        keeper = self.keepers.get(target.host)
-        return keeper.open_link if keeper is not None else None
+        connection = self.connections.get(target.host)
+        return connection.open_link if connection is not None else None
 
     # -- reported state --------------------------------------------------
 
--- a/src/wisteriapulley/direct/signal_recorder.py
+++ b/src/wisteriapulley/direct/signal_recorder.py
@@ -46,9 +46,9 @@
             )
         if changes.leaving:
             log.info("target says it leaves", extra=fields(target=target.target_id))
-        self.log_unreadable(target, signals)
+        self.log_invalid(target, signals)
 
-    def log_unreadable(self, target: Target, signals: ResponseSignals) -> None:
+    def log_invalid(self, target: Target, signals: ResponseSignals) -> None:
         """Log signals that can't be parsed, once per target."""
         if target.rate.is_first_invalid(signals.rate):
             log.warning(
--- a/src/wisteriapulley/direct/slot_allocation.py
+++ b/src/wisteriapulley/direct/slot_allocation.py
@@ -42,6 +42,7 @@
 # objective: with six emulated engines at 1.2 times the peak load, a fraction of 0.64
 # meets it without this margin and 0.75 with it.
 LATENCY_MARGIN_MS = 130.0
+# Retry time of a refused caller when no target tells when it accepts a request again.
 DEFAULT_RETRY_S = 0.25
 # Without a sidecar's estimate, no request is sent to a superseded version this long
 # before the end of its grace period. A request starts with its first token, not when
@@ -122,7 +123,7 @@
         self.limited_s: list[float] = []
 
     def add_throttled(self, wait_s: float) -> None:
-        """Record that a target accepts no request for some time; infinity for ever."""
+        """Record how long a target accepts no request; infinite if it never will."""
         if wait_s < float("inf"):
             self.limited_s.append(wait_s)
 
@@ -429,7 +430,7 @@
     request, priority = admitted.request, admitted.priority
     waited_ms = (now_s - request.arrived_s) * 1000
     left_ms = admitted.route.latency_ms - waited_ms - LATENCY_MARGIN_MS
-    if left_ms > 0 and not admitted.returned:
+    if left_ms > 0 and not admitted.is_retry:
         return Urgency(left_ms, priority, False)
     run_ms = DECODE_TIME_FACTOR * request.answer_tokens * engine.step_ms
     slack_ms = request.max_wait_s * 1000 - waited_ms - LATENCY_MARGIN_MS - run_ms
--- a/src/wisteriapulley/entry/at_most_once.py
+++ b/src/wisteriapulley/entry/at_most_once.py
@@ -58,7 +58,7 @@
 # Expected attempt that never matches: the ledger changes nothing and returns the
 # current claim.
 READ_ONLY_ATTEMPT = -1
-# Bounds how long a refusal waits for the ledger.
+# Longest time that a refusal waits for the ledger.
 LEDGER_READ_TIMEOUT_S = 0.25
 # The ledger keeps an expired claim for its own margin. Half of that allows for
 # clock skew between this entry and the ledger.
--- a/src/wisteriapulley/entry/dispatch.py
+++ b/src/wisteriapulley/entry/dispatch.py
@@ -24,7 +24,8 @@
 
 log = logging.getLogger(__name__)
 
-# Enough for one target that closed its gate and another that failed meanwhile.
+# Attempts of one request, with the first: enough for one target that closed its gate
+# and another that failed meanwhile.
 MAX_ATTEMPTS = 4
 RETRY_AFTER_MS = 1000
 # How long to wait for the replacement of a lost link to a service's only target.
--- a/src/wisteriapulley/entry/targets.py
+++ b/src/wisteriapulley/entry/targets.py
@@ -49,9 +49,9 @@
         Time when the target was last asked about a claim.
     """
 
-    def __init__(self, member: messages.Announce, keeper: ReconnectingLink):
+    def __init__(self, member: messages.Announce, connection: ReconnectingLink):
         self.member = member
-        self.keeper = keeper
+        self.connection = connection
         self.in_flight = 0
         self.in_flight_at_report = 0
         self.peak = 0
@@ -62,7 +62,7 @@
     @property
     def link(self) -> Link | None:
         """The open link, or None."""
-        return self.keeper.open_link
+        return self.connection.open_link
 
     def add_request(self) -> None:
         """Count a request that this entry sends to the target."""
@@ -180,7 +180,7 @@
 
     def add(self, member: messages.Announce) -> Target:
         """Open a link to a member."""
-        keeper = ReconnectingLink(
+        connection = ReconnectingLink(
             [Address.from_text(member.address)],
             self.identity,
             self.handler,
@@ -188,14 +188,14 @@
             self.settings,
             self.link_opened,
         )
-        target = self.targets[member.node_id] = Target(member, keeper)
-        keeper.start()
+        target = self.targets[member.node_id] = Target(member, connection)
+        connection.start()
         return target
 
     def drop(self, name: str) -> None:
         """Remove a target and close its link."""
         target = self.targets.pop(name)
-        task = asyncio.get_running_loop().create_task(target.keeper.stop())
+        task = asyncio.get_running_loop().create_task(target.connection.stop())
         task.add_done_callback(lambda done: done.exception())
 
     async def link_opened(self, link: Link) -> None:
@@ -270,4 +270,4 @@
     async def stop(self) -> None:
         """Close every link."""
         for target in self.targets.values():
-            await target.keeper.stop()
+            await target.connection.stop()
--- a/src/wisteriapulley/platform/ingress.py
+++ b/src/wisteriapulley/platform/ingress.py
@@ -100,7 +100,7 @@
     ----------
     serve : callable
         Responds to a request, or returns the refusal to send instead.
-    most_body_bytes : int
+    max_body_bytes : int
         Maximum length of a request body.
     """
 
--- a/src/wisteriapulley/policy/admission.py
+++ b/src/wisteriapulley/policy/admission.py
@@ -32,7 +32,7 @@
 class Admission:
     """Token bucket for each client account and entry.
 
-    An account that sends faster than agreed would fill the queue that it shares
+    An account that sends faster than its limit would fill the queue that it shares
     with others. The limits are those of the catalogue.
     """
 
--- a/src/wisteriapulley/policy/drain.py
+++ b/src/wisteriapulley/policy/drain.py
@@ -1,10 +1,12 @@
 """Drain rate of a queue, sampled while the queue is not empty."""
 
-# Long enough for several short requests to end, short enough to notice the loss of a
-# target.
+# Length of a sample: long enough for several short requests to end, short enough to
+# notice the failure of a target.
 WINDOW_S = 0.5
+# Weight of a new sample in the moving average of the rate.
 SMOOTHING = 0.4
-# Keeps the wait finite for a stopped queue, so that Retry-After stays reasonable.
+# Lowest rate used for an estimate. It keeps the wait finite for a stopped queue, so
+# that Retry-After stays reasonable.
 MIN_RATE = 0.05
 
 
--- a/src/wisteriapulley/policy/engine_slots.py
+++ b/src/wisteriapulley/policy/engine_slots.py
@@ -7,8 +7,8 @@
 every request.
 
 The engine's sidecar keeps this queue; entries request a slot before they send. A slot
-is granted only if the first event can still be in time, so that a request that can't
-be is refused at once and does not delay the others.
+is granted only if the first event can still be in time. Any other request is refused at
+once and does not delay the rest.
 """
 
 import heapq
@@ -39,10 +39,12 @@
 # request waits for all prefill of its batch step: this takes a quarter of an objective
 # of 400 ms, and always fits one mean prompt of 50 ms.
 LATE_PREFILL_MS = 100.0
-# When the weights' time ends, a request is granted only if its first event is expected
-# this long before. Covers the network and the error of the estimate; a request that
-# still is late is dropped by its entry in time.
+# Superseded weights may start requests only until the end of their grace period. A
+# request is granted only if its first event is expected this long before that end. The
+# margin covers the network and the error of the estimate; a request that is late
+# nevertheless is dropped by its entry in time.
 BEGIN_MARGIN_MS = 250.0
+# Weight of a new sample in the moving averages of hold times and event intervals.
 SMOOTHING = 0.1
 # A slot whose entry neither uses nor releases it is revoked after this time, which is
 # longer than any route's timeout.
@@ -117,8 +119,8 @@
 class AdmissionDecision(NamedTuple):
     """Decision on a request; neither granted nor denied means that it is queued.
 
-    `limited` says that the engine itself holds requests back: it advertises a rate,
-    or rejected some.
+    `limited` tells that the engine itself is throttled: it advertises a rate, or
+    rejected some requests.
     """
 
     request_id: str
@@ -162,7 +164,8 @@
         # When admission is expected to open: the engine is loading, and no running
         # request delays the load.
         self.opens_at_ms: float | None = None
-        # When requests may no longer begin on the engine's current weights.
+        # End of the grace period of the engine's current weights, if superseded: no
+        # request may begin on them after that.
         self.weights_end_ms: float | None = None
         # Advertised rates, and the incarnation that the last slot request was for.
         self.rate_limits = RateLimits()
@@ -281,7 +284,7 @@
         return max(rate_s, breaker_s) * 1000
 
     def throttled_for_s(self, now_s: float) -> float:
-        """Return how long the engine takes no request in time."""
+        """Return how long the engine accepts no request that is in time."""
         rate_s = self.rate_limits.wait_s(self.target, now_s)
         return max(rate_s, self.breaker.wait_s(now_s))
 
@@ -343,7 +346,7 @@
     def begins_too_late(
         self, request: SlotRequest, event_ms: float, now_ms: float
     ) -> bool:
-        """Return whether the weights' time ends, or they change, too soon for it."""
+        """Return whether the grace period ends, or weights change, too early for it."""
         if self.weights_end_ms is not None:
             if now_ms + event_ms + BEGIN_MARGIN_MS > self.weights_end_ms:
                 return True
@@ -388,7 +391,7 @@
     ) -> None:
         """Release a slot, and record what the engine did with its request.
 
-        `cooldown_requested` says that the engine requested a cool-down.
+        `cooldown_requested` tells whether the engine requested a cool-down.
         """
         grant = self.grants.get(request_id)
         if grant is not None:
@@ -458,7 +461,7 @@
         """Return whether a queued request has no chance of a slot.
 
         Its time has passed, or it is late and new requests take all free slots. A
-        request that the engine itself holds back may get a slot elsewhere at once.
+        request for a throttled engine may get a slot elsewhere at once.
         """
         if now_ms > queued.expires_ms:
             return True
--- a/src/wisteriapulley/policy/outliers.py
+++ b/src/wisteriapulley/policy/outliers.py
@@ -9,15 +9,17 @@
 SLOW_FACTOR = 3.0
 # A probed target returns only if it is clearly healthy, so that it does not flap.
 RECOVERED_FACTOR = 1.5
-# A single slow request is no evidence; three are.
+# Samples needed to eject a target: a single slow request is no evidence.
 MIN_SAMPLES = 3
-# With fewer targets it is unclear which of them is the outlier.
+# Targets needed to eject one: with fewer it is unclear which of them is the outlier.
 MIN_TARGETS = 3
 # Maximum fraction of targets ejected at once: when many are slow, the load is the
 # cause, and ejecting targets would make it worse.
 MAX_EJECTED_FRACTION = 0.34
+# Time between the probes of an ejected target; it doubles with each slow probe.
 MIN_PROBE_BACKOFF_S = 5.0
 MAX_PROBE_BACKOFF_S = 60.0
+# Weight of a new sample in the moving average of a target's ratio.
 SMOOTHING = 0.3
 
 
--- a/src/wisteriapulley/policy/scheduler.py
+++ b/src/wisteriapulley/policy/scheduler.py
@@ -16,13 +16,16 @@
 
 # Bounds the memory of one service's queue, whatever deadlines allow.
 MAX_QUEUED = 10_000
-# A caller that retries sooner would meet the same burst.
+# Earliest retry: a caller that retries sooner would arrive during the same burst.
 MIN_RETRY_MS = 100
+# Retry time while a service has no target.
 NO_TARGET_RETRY_MS = 1000
-# A full queue stays at its bound, and later arrivals may go first: without headroom,
-# half of the admitted requests would be refused late instead of at once.
+# Factor on the estimated wait in the deadline test. A full queue stays at its bound,
+# and later arrivals may go first: without headroom, half of the admitted requests would
+# be refused late instead of at once.
 WAIT_HEADROOM = 1.3
-# A probe goes to a target that was at least three times slower than its peers.
+# Factor on the expected time of a request that is sent as a probe: the probed target
+# was at least three times slower than its peers.
 PROBE_SLACK = 10.0
 
 
--- a/src/wisteriapulley/rollout/admission.py
+++ b/src/wisteriapulley/rollout/admission.py
@@ -66,13 +66,13 @@
         self.advance()
         self.schedule_load_report()
 
-    def expect_opening(self, pause_ms: float) -> None:
-        """Queue requests for slots that open after `pause_ms`."""
-        self.slots.opens_at_ms = self.now_ms() + pause_ms
+    def expect_opening(self, delay_ms: float) -> None:
+        """Queue requests for slots that open after `delay_ms`."""
+        self.slots.opens_at_ms = self.now_ms() + delay_ms
         self.schedule_load_report()
 
     def set_admission_end(self, left_ms: float | None) -> None:
-        """Set how long requests may still start; None means without an end."""
+        """Set how long requests may still start; None means without a limit."""
         ends_ms = None if left_ms is None else self.now_ms() + left_ms
         self.slots.weights_end_ms = ends_ms
 
@@ -106,17 +106,17 @@
         """Send a load report soon; changes until then share it."""
         if self.load_report_timer is None:
             loop = asyncio.get_running_loop()
-            pause_s = max(
+            delay_s = max(
                 LOAD_REPORT_INTERVAL_S, len(self.near_links()) / MAX_LOAD_REPORTS_PER_S
             )
-            self.load_report_timer = loop.call_later(pause_s, self.report_load)
+            self.load_report_timer = loop.call_later(delay_s, self.report_load)
 
     def report_load(self) -> None:
         """Send the load to the entries of this region.
 
         Entries of other regions send requests here only when their own region is
         full, so the regular heartbeat is enough for them. Sending every change to
-        all entries took half of the bytes between regions.
+        all entries would take half of the bytes between regions.
         """
         self.load_report_timer = None
         for link in self.near_links():
--- a/src/wisteriapulley/rollout/engine.py
+++ b/src/wisteriapulley/rollout/engine.py
@@ -36,8 +36,8 @@
         An engine that announced that it leaves stays leaving until it starts again.
         A restarted engine holds no weights, whether or not it reports when it started.
         """
-        same_start = self.started_ms == earlier.started_ms and bool(self.versions)
-        leaving = self.leaving or (earlier.leaving and same_start)
+        same_incarnation = self.started_ms == earlier.started_ms and bool(self.versions)
+        leaving = self.leaving or (earlier.leaving and same_incarnation)
         return self._replace(leaving=leaving)
 
 
@@ -54,7 +54,7 @@
 
     Attributes
     ----------
-    cooldown : KnownRest
+    cooldown : CooldownTracker
         Cool-down that the engine requested; no calls are made until it has ended.
     """
 
--- a/src/wisteriapulley/rollout/service.py
+++ b/src/wisteriapulley/rollout/service.py
@@ -25,8 +25,8 @@
 # The engine is polled often while it holds no weights or while other weights are to
 # be loaded. While it serves the desired version a crash may be detected later, since
 # entries notice it first. Together with slower heartbeats, the longer interval
-# cut the processor time of all processes of 74 instances by 22 %, from 254 to 197 s
-# in 24 s.
+# reduces the processor time of all processes of 74 instances by 22 %, from 254 to
+# 197 s within 24 s.
 POLL_INTERVAL_S = 0.2
 STEADY_POLL_INTERVAL_S = 0.4
 
--- a/src/wisteriapulley/rollout/staging.py
+++ b/src/wisteriapulley/rollout/staging.py
@@ -32,6 +32,7 @@
 # region in a steady flow, and one response lists all that arrived meanwhile.
 HELD_QUERY_INTERVAL_S = 0.03
 MANIFEST_TIMEOUT_S = 4.0
+# Delay before a failed fetch or a rejected piece is retried.
 RETRY_DELAY_S = 0.1
 # A download without a new piece for this long is stalled: a piece takes 70 ms on a
 # link of 3.8 Mbit/s, and 140 ms when two downloads share it.
@@ -116,7 +117,7 @@
         parts: list[bytes] = []
         offset, total = 0, PART_BYTES
         while offset < total:
-            began_s = loop.time()
+            started_s = loop.time()
             query = messages.PieceQuery(model, version, position, offset, PART_BYTES)
             frame = await self.link.request(query, PART_TIMEOUT_S)
             total = frame.message.total
@@ -124,7 +125,7 @@
             offset += len(frame.body)
             if not frame.body:
                 break
-            pause_s = self.rate().pause_s(len(frame.body), loop.time() - began_s)
+            pause_s = self.rate().pause_s(len(frame.body), loop.time() - started_s)
             await asyncio.sleep(pause_s)
         return b"".join(parts)
 
@@ -204,12 +205,12 @@
         )
         return fraction == 1
 
-    async def request_any(self, query: tuple, limit_s: float):
+    async def request_any(self, query: tuple, timeout_s: float):
         """Send a request to one control instance after another until one responds."""
         failure: WisteriapulleyError | None = None
         for link in self.upstream():
             try:
-                return await link.request(query, limit_s)
+                return await link.request(query, timeout_s)
             except WisteriapulleyError as error:
                 log.info(
                     "%s did not serve the request for weights: %s", link.peer_id, error
@@ -263,10 +264,10 @@
         bad: list[int] = []
         for first in range(0, len(positions), MAX_CONCURRENT_READS):
             batch = positions[first : first + MAX_CONCURRENT_READS]
-            fits = await asyncio.gather(
+            matches = await asyncio.gather(
                 *(self.verify_piece(manifest, p) for p in batch)
             )
-            bad += [p for p, is_good in zip(batch, fits, strict=True) if not is_good]
+            bad += [p for p, match in zip(batch, matches, strict=True) if not match]
         return bad
 
     async def verify_piece(self, manifest: PieceManifest, position: int) -> bool:
--- a/src/wisteriapulley/rollout/switch_order.py
+++ b/src/wisteriapulley/rollout/switch_order.py
@@ -4,18 +4,18 @@
 and an engine that is ordered to load it accepts no new requests until its running
 ones have ended. Without an order, many engines would be idle at the same time. So
 they switch one after the other, spread over the time between the end of the download
-and the time at which the older version may no longer serve. Engines of one failure
-domain are far apart in this order.
+and the end of the superseded version's grace period. Engines of one failure domain are
+far apart in this order.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# The last engine switches this long before the older version may no longer serve, so
-# that no request starts on that version after its time.
+# The last engine switches this long before the superseded version's grace period ends,
+# so that no request starts on that version after it.
 SWITCH_MARGIN_MS = 900.0
-# Finishing a download that is this far takes less than half of the time that a
-# superseded version may serve.
+# Fraction from which on a download counts as advanced. To finish it takes less than
+# half of the time that a superseded version may serve.
 ADVANCED_DOWNLOAD_FRACTION = 0.3
 # Once a control instance holds this fraction of the newer version, its pieces arrive
 # as fast as an engine's link can receive them.
--- a/src/wisteriapulley/rollout/updater.py
+++ b/src/wisteriapulley/rollout/updater.py
@@ -1,4 +1,4 @@
-"""Updates an engine's weights: download, wait for its rank, verify, load."""
+"""Updates an engine's weights: download, wait for its turn to switch, verify, load."""
 
 import asyncio
 import logging
@@ -18,14 +18,17 @@
 
 # Poll often while an order is in progress, to open the slots as soon as it is done.
 LOAD_POLL_INTERVAL_S = 0.05
+# Delay before a failed update is retried.
 RETRY_DELAY_S = 0.3
 # A load that has not completed by then is ordered again.
 LOAD_TIMEOUT_S = 12.0
-# The first engines of the switch order, which download at the full rate of their link.
+# Engines in this first fraction of the switch order download at the full rate of their
+# link.
 FULL_RATE_FRACTION = 0.3
 # Estimate before the first load: an idle engine loads in 0.3 s and is polled every
 # 0.05 s.
 INITIAL_LOAD_MS = 350.0
+# Weight of a new sample in the estimate of the load time.
 LOAD_TIME_GAIN = 0.5
 # No request waits longer than this for its first event: the longest objective.
 MAX_OPENING_WAIT_MS = 500.0
@@ -165,7 +168,7 @@
             await asyncio.sleep(RETRY_DELAY_S)
 
     async def update_once(self, goal: Goal) -> None:
-        """Download, wait for the engine's rank, verify and load."""
+        """Download, wait for the engine's turn in the switch order, verify and load."""
         manifest = await self.staging.fetch_manifest(goal.model, goal.version)
         log.info("download started", extra=fields(version=manifest.version))
         self.manifest = manifest
@@ -186,9 +189,9 @@
         if self.state.held_version() or self.admission.slots.grants:
             return
         missing = len(self.staging.missing(manifest)) * manifest.chunk_bytes
-        pause_ms = self.download_ms(missing) + self.load_ms
-        if pause_ms < MAX_OPENING_WAIT_MS:
-            self.admission.expect_opening(pause_ms)
+        delay_ms = self.download_ms(missing) + self.load_ms
+        if delay_ms < MAX_OPENING_WAIT_MS:
+            self.admission.expect_opening(delay_ms)
 
     # -- switch time -----------------------------------------------------
 
@@ -198,10 +201,10 @@
         if age_ms is None or not self.state.held_version():
             return 0.0
         download_ms = self.download_ms(total_bytes(manifest))
-        due = switch_due_ms(
+        due_ms = switch_due_ms(
             self.state.switch_rank(), download_ms, self.settings.old_version_ms
         )
-        return due - age_ms
+        return due_ms - age_ms
 
     def download_ms(self, size: float) -> float:
         """Return the time to download `size` bytes at the full rate of the link."""
@@ -221,14 +224,14 @@
             self.admission.slots.closes_at_ms = None
             return
         missing = total_bytes(manifest) * (1 - self.staging.done_fraction)
-        pause_ms = max(self.download_ms(missing), self.switch_in_ms(manifest), 0.0)
-        self.admission.slots.closes_at_ms = self.admission.now_ms() + pause_ms
+        delay_ms = max(self.download_ms(missing), self.switch_in_ms(manifest), 0.0)
+        self.admission.slots.closes_at_ms = self.admission.now_ms() + delay_ms
 
     async def wait_for_switch(self, manifest: PieceManifest) -> None:
         """Wait until this engine may be taken out of service."""
-        pause_ms = self.switch_in_ms(manifest)
-        if pause_ms > 0:
-            await asyncio.sleep(pause_ms / 1000)
+        delay_ms = self.switch_in_ms(manifest)
+        if delay_ms > 0:
+            await asyncio.sleep(delay_ms / 1000)
 
     # -- load order ------------------------------------------------------
 
@@ -237,17 +240,17 @@
         self.loading = True
         self.update_admission()
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        started_s = loop.time()
         idle = not self.admission.slots.grants
         ordered = False
-        while loop.time() < began_s + LOAD_TIMEOUT_S:
+        while loop.time() < started_s + LOAD_TIMEOUT_S:
             if not ordered:
                 ordered = await self.order_load(model, version, idle)
             await asyncio.sleep(LOAD_POLL_INTERVAL_S)
             await self.poll_engine()
             report = self.state.report
             if report.versions.get(model) == version and not report.busy:
-                self.record_load_time(idle, (loop.time() - began_s) * 1000)
+                self.record_load_time(idle, (loop.time() - started_s) * 1000)
                 return
             if ordered and not report.busy and not report.versions:
                 # The engine crashed and lost the order.
--- a/src/wisteriapulley/sidecar/answers.py
+++ b/src/wisteriapulley/sidecar/answers.py
@@ -73,7 +73,10 @@
                 crc = zlib.crc32(data, crc)
                 await link.drain()
             if link.closed.is_set():
-                raise WireError(ResultCode.LINK_CLOSED, link.peer_id)
+                raise WireError(
+                    ResultCode.LINK_CLOSED,
+                    f"the link to {link.peer_id} closed before the response was sent",
+                )
             link.post(messages.AnswerEnd(request_id, offset, crc), reply_to=frame.id)
             await link.drain()
         finally:
--- a/src/wisteriapulley/sidecar/attempts.py
+++ b/src/wisteriapulley/sidecar/attempts.py
@@ -12,8 +12,8 @@
 from wisteriapulley.errors import RequestError, ResultCode
 from wisteriapulley.statechart import load_chart
 
-# Enough for 100 keyed requests a second, each kept for the longest expiry of a claim
-# (ten minutes) and the margin below.
+# Maximum number of attempts in the table: enough for 100 keyed requests a second, each
+# kept for the longest expiry of a claim (ten minutes) and the margin below.
 MAX_ATTEMPTS = 70_000
 # Memory for the kept answers of one target. Beyond it the oldest finished answers
 # lose their bodies, and a resend gets MAY_HAVE_RUN.
--- a/src/wisteriapulley/sidecar/neighbours.py
+++ b/src/wisteriapulley/sidecar/neighbours.py
@@ -71,7 +71,7 @@
         self.heartbeat = heartbeat
         self.on_heartbeat = on_heartbeat
         self.meter = meter
-        self.keepers: dict[str, tuple[str, ReconnectingLink]] = {}
+        self.connections: dict[str, tuple[str, ReconnectingLink]] = {}
         self.stopping: set[asyncio.Task] = set()
 
     def update_members(self, announced: dict[str, messages.Announce]) -> None:
@@ -88,15 +88,15 @@
         chosen = choose_neighbours(self.swarm.me, peers, self.settings.neighbours)
         self.swarm.neighbour_count = len(chosen)
         desired_addresses = {name: members[name].address for name in chosen}
-        for name, (address, _) in tuple(self.keepers.items()):
+        for name, (address, _) in tuple(self.connections.items()):
             if desired_addresses.get(name) != address:
-                self.drop_keeper(name)
-        for name in desired_addresses.keys() - self.keepers.keys():
-            self.add_keeper(name, desired_addresses[name])
+                self.drop_connection(name)
+        for name in desired_addresses.keys() - self.connections.keys():
+            self.add_connection(name, desired_addresses[name])
 
-    def add_keeper(self, name: str, address: str) -> None:
+    def add_connection(self, name: str, address: str) -> None:
         """Start keeping a link to a neighbour open."""
-        keeper = ReconnectingLink(
+        connection = ReconnectingLink(
             [Address.from_text(address)],
             self.identity,
             self.handler,
@@ -104,13 +104,13 @@
             self.settings,
             self.link_connected,
         )
-        self.keepers[name] = (address, keeper)
-        keeper.start()
+        self.connections[name] = (address, connection)
+        connection.start()
 
-    def drop_keeper(self, name: str) -> None:
+    def drop_connection(self, name: str) -> None:
         """Stop keeping a link open, and close it."""
-        _, keeper = self.keepers.pop(name)
-        task = asyncio.get_running_loop().create_task(keeper.stop())
+        _, connection = self.connections.pop(name)
+        task = asyncio.get_running_loop().create_task(connection.stop())
         self.stopping.add(task)
         task.add_done_callback(self.stopping.discard)
 
@@ -134,5 +134,5 @@
 
     async def stop(self) -> None:
         """Close every link that this sidecar keeps open."""
-        for _, keeper in self.keepers.values():
-            await keeper.stop()
+        for _, connection in self.connections.values():
+            await connection.stop()
--- a/tests/test_direct_dispatch.py
+++ b/tests/test_direct_dispatch.py
@@ -245,12 +245,12 @@
 
     def admit(self, *max_waits_s):
         dispatcher = dispatcher_without_targets()
-        dispatcher.returning["r"].record_refusal(0.0)
+        dispatcher.retry_detectors["r"].record_refusal(0.0)
         requests = (
             CallerRequest("id", "POST", "/a/", "h", "/a/", (), b"", "k", 1.0, each)
             for each in max_waits_s
         )
-        return [dispatcher.admit(request).returned for request in requests]
+        return [dispatcher.admit(request).is_retry for request in requests]
 
     def test_are_detected_by_their_stated_wait(self):
         assert self.admit(6.0, 5.3, 4.4) == [False, False, True]
--- a/tests/test_nearest.py
+++ b/tests/test_nearest.py
@@ -6,7 +6,7 @@
 
 from wisteriapulley.control.nearest import (
     FOLLOWED_INSTANCES,
-    MAX_UNANSWERED,
+    MAX_UNRESPONSIVE,
     by_nearness,
     instances_to_follow,
 )
@@ -56,4 +56,4 @@
     def test_outage_of_all_instances_causes_no_connection_storm(self):
         """Without a limit, all followers would connect to all instances at once."""
         chosen = instances_to_follow(self.HOSTS, lambda host: False)
-        assert len(chosen) == FOLLOWED_INSTANCES + MAX_UNANSWERED
+        assert len(chosen) == FOLLOWED_INSTANCES + MAX_UNRESPONSIVE
--- a/tests/test_sidecars.py
+++ b/tests/test_sidecars.py
@@ -52,7 +52,7 @@
         self.posted.append(message)
 
 
-class FakeKeeper:
+class FakeConnection:
     def __init__(self, link):
         self.open_link = link
         self.stopped = False
@@ -77,7 +77,7 @@
         registry.update([state("i-1")], 0.0)
         sidecars = Sidecars(SETTINGS, IDENTITY, registry)
         fake = FakeLink(**link)
-        sidecars.keepers["10.0.0.1"] = FakeKeeper(fake)
+        sidecars.connections["10.0.0.1"] = FakeConnection(fake)
         await scenario(sidecars, fake, registry)
 
     asyncio.run(run())
@@ -166,16 +166,16 @@
 
     def test_link_is_kept_for_another_target_on_its_host(self):
         async def scenario(sidecars, link, registry):
-            keeper = sidecars.keepers["10.0.0.1"]
+            connection = sidecars.connections["10.0.0.1"]
             registry.targets.pop("i-1")
             registry.update([state("i-2", port=81)], 0.0)
             sidecars.keep_links(["s"])
             await sidecars.drop_links()
-            assert sidecars.keepers["10.0.0.1"] is keeper
-            assert not keeper.stopped
+            assert sidecars.connections["10.0.0.1"] is connection
+            assert not connection.stopped
             registry.targets.clear()
             sidecars.keep_links(["s"])
             await sidecars.drop_links()
-            assert keeper.stopped and not sidecars.keepers
+            assert connection.stopped and not sidecars.connections
 
         play(scenario)
--- a/tests/test_slot_allocation.py
+++ b/tests/test_slot_allocation.py
@@ -51,7 +51,7 @@
         pass
 
 
-def allocate(sidecars, returned=False, count=3):
+def allocate(sidecars, is_retry=False, count=3):
     """Allocate a slot for one request, with `count` engines."""
 
     async def run():
@@ -68,7 +68,7 @@
         request = CallerRequest(
             "q", "POST", "/", "h", "/", (), b"", "", now_s, 5.4, 900, 90
         )
-        admitted = Admitted(request, ROUTE, None, now_s + 5.4, returned)
+        admitted = Admitted(request, ROUTE, None, now_s + 5.4, is_retry)
         return await allocator.allocate(admitted, "s", ENGINE, set(), now_s)
 
     return asyncio.run(run())
@@ -90,9 +90,9 @@
         assert not first.late
         assert first.wait_ms > ROUTE.latency_ms / 2
 
-    def test_returning_caller_is_late(self):
+    def test_retry_is_late(self):
         sidecars = FakeSidecars(DENIED, DENIED, DENIED)
-        allocate(sidecars, returned=True)
+        allocate(sidecars, is_retry=True)
         assert all(reservation.late for reservation in sidecars.reservations)
 
 
