--- a/src/wisteriapulley/catalogue/entry.py
+++ b/src/wisteriapulley/catalogue/entry.py
@@ -14,8 +14,9 @@
 DISTRIBUTIONS = ("time_to_replicas", "origin_bytes")
 ROLES = ("serve", "prefill", "decode", "batch")
 PRIORITY_RANGE = range(-100, 101)
-# Far above current and planned values, but low enough to refuse a value that is wrong
-# by three digits before it takes effect in the whole fleet.
+# Accepted values of the limits: far above current and planned ones, but low enough to
+# refuse a value that is wrong by three digits before it takes effect in the whole
+# fleet.
 LIMIT_RANGES = {
     "requests_per_s": (0.001, 100_000.0),
     "burst": (1, 100_000),
--- a/src/wisteriapulley/claims/ledger.py
+++ b/src/wisteriapulley/claims/ledger.py
@@ -13,11 +13,13 @@
 
 from wisteriapulley.errors import ResultCode
 
+# Longest time from now to a claim's expiry.
 MAX_EXPIRY_MS = 600_000
 # Claims are kept this much longer than their expiry, to allow for clock skew.
 EXPIRY_MARGIN_MS = 60_000
-# Enough for 45 non-idempotent requests a second, each claim kept for 660 s. Without
-# a bound the ledger could outgrow the memory of a control instance.
+# Maximum number of claims: enough for 45 non-idempotent requests a second, each claim
+# kept for 660 s. Without a bound the ledger could outgrow the memory of a control
+# instance.
 MAX_CLAIMS = 30_000
 # Claims are grouped by the second of their expiry and dropped a group at a time.
 EXPIRY_BUCKET_MS = 1000
--- a/src/wisteriapulley/emulator/experiment.py
+++ b/src/wisteriapulley/emulator/experiment.py
@@ -43,12 +43,12 @@
 
 def average(name: str, outcomes: list[Outcome]) -> Row:
     """Average outcomes; the first three columns are fractions of the requests."""
-    asked = sum(o.requests for o in outcomes)
+    request_count = sum(o.requests for o in outcomes)
     return Row(
         name,
-        sum(o.in_time for o in outcomes) / asked,
-        sum(o.late for o in outcomes) / asked,
-        sum(o.refused for o in outcomes) / asked,
+        sum(o.in_time for o in outcomes) / request_count,
+        sum(o.late for o in outcomes) / request_count,
+        sum(o.refused for o in outcomes) / request_count,
         sum(o.worth for o in outcomes) / len(outcomes),
         sum(o.worst_window for o in outcomes) / len(outcomes),
     )
--- a/src/wisteriapulley/emulator/fleet.py
+++ b/src/wisteriapulley/emulator/fleet.py
@@ -1,6 +1,6 @@
 """Entries, sidecars and engines on a virtual clock.
 
-The slot queue, the order of change and the choice of a target are the production code.
+The slot queue, the switch order and the retry rules are the production code.
 The network, the processes and failures are left out.
 """
 
@@ -26,12 +26,15 @@
 from wisteriapulley.policy.retry_detection import RetryDetector
 from wisteriapulley.rollout.switch_order import SwitchRank, switch_due_ms
 
+# Time in which an engine loads new weights.
 LOAD_MS = 300.0
 # One-way delay of a message; regions are not modelled.
 NETWORK_DELAY_MS = 1.0
 ADVANCE_INTERVAL_MS = 20.0
 # A refused caller retries once.
 MAX_RETRIES = 1
+# Spread of the callers' estimates of their answers, as the standard deviation of the
+# logarithm.
 ESTIMATE_SPREAD = 0.5
 # Longest time that a caller waits in all.
 MAX_CALLER_WAIT_MS = 6000.0
@@ -326,12 +329,12 @@
     # -- weights ---------------------------------------------------------
 
     def schedule_changes(self) -> None:
-        """Schedule each engine's change in its turn."""
+        """Schedule each engine's change of weights at its rank in the switch order."""
         scenario = self.scenario
         for engine_index in range(scenario.engines):
-            turn = SwitchRank(engine_index, scenario.engines)
-            due = switch_due_ms(turn, scenario.download_ms, scenario.superseded_ms)
-            at_ms = scenario.change_s * 1000 + due
+            rank = SwitchRank(engine_index, scenario.engines)
+            due_ms = switch_due_ms(rank, scenario.download_ms, scenario.superseded_ms)
+            at_ms = scenario.change_s * 1000 + due_ms
             self.schedule(
                 scenario.change_s * 1000, self.change_announcement(engine_index, at_ms)
             )
@@ -385,5 +388,5 @@
 
 def earned_fraction(requests: list[EmulatedRequest]) -> float:
     """Return the fraction of their worth that requests earned."""
-    owed = sum(request.kind.worth for request in requests)
-    return sum(request.earned_worth for request in requests) / owed if owed else 1.0
+    total = sum(request.kind.worth for request in requests)
+    return sum(request.earned_worth for request in requests) / total if total else 1.0
--- a/src/wisteriapulley/emulator/mixes.py
+++ b/src/wisteriapulley/emulator/mixes.py
@@ -65,6 +65,7 @@
         101.2,
     ),
 }
+# Longest answer, in events, and longest prompt, as a multiple of the mean.
 MAX_EVENTS = 50
 MAX_PROMPT_FACTOR = 3.0
 
--- a/src/wisteriapulley/logs.py
+++ b/src/wisteriapulley/logs.py
@@ -20,6 +20,7 @@
 INFO_LINES_PER_S = 100.0
 # Warnings and errors explain failures, so they have a separate budget.
 WARNING_LINES_PER_S = 100.0
+# Burst of log lines, in seconds of their rate.
 BURST_S = 3.0
 # Minimum time between two reports of dropped lines.
 DROP_REPORT_INTERVAL_S = 1.0
--- a/src/wisteriapulley/operator_client.py
+++ b/src/wisteriapulley/operator_client.py
@@ -17,9 +17,10 @@
 from wisteriapulley.settings import Address
 
 REQUEST_TIMEOUT_S = 5.0
-# More than one, so that a new leader can be elected between the attempts.
+# Attempts at each address: more than one, so that a new leader can be elected between
+# them.
 ATTEMPTS_PER_ADDRESS = 3
-RETRY_PAUSE_S = 0.5
+RETRY_DELAY_S = 0.5
 STATUS_UNAVAILABLE = 503
 FIRST_ERROR_STATUS = 400
 
@@ -89,7 +90,7 @@
                     raise_result_code(data)
                     return data
                 reason = f"{address}: {error_text(data)}"
-            time.sleep(RETRY_PAUSE_S)
+            time.sleep(RETRY_DELAY_S)
         raise CatalogueError(
             ResultCode.NO_QUORUM,
             f"{reason}; it is unknown whether the request was accepted",
--- a/src/wisteriapulley/platform/control_calls.py
+++ b/src/wisteriapulley/platform/control_calls.py
@@ -21,10 +21,11 @@
 
 log = logging.getLogger(__name__)
 
-# Room for thousands of routes, far more than operators send.
+# Maximum size of a call's body: enough for thousands of routes, far more than operators
+# send.
 MAX_BODY_BYTES = 16 << 20
 EMPTY_JSON = b"{}"
-# The content itself is invalid, so a retry can't succeed.
+# Errors in the content of a call, with which no retry can succeed.
 PERMANENT_ERROR_CODES = (
     ResultCode.CATALOGUE_ENTRY_INVALID,
     ResultCode.HEARTBEAT_INVALID,
@@ -34,8 +35,8 @@
 class ControlCalls:
     """Serves the platform's calls through a control instance's `ControlApi`."""
 
-    def __init__(self, orders: ControlApi):
-        self.orders = orders
+    def __init__(self, api: ControlApi):
+        self.api = api
         app = web.Application(middlewares=[map_errors], client_max_size=MAX_BODY_BYTES)
         app.add_routes(
             [
@@ -73,29 +74,29 @@
     async def replace(self, request: web.Request) -> web.Response:
         """Replace the current configuration."""
         body = await request.read()
-        await self.orders.replace_routing(decode_configuration(body), body)
+        await self.api.replace_routing(decode_configuration(body), body)
         return ack_response()
 
     async def read(self, request: web.Request) -> web.Response:
         """Return the current configuration."""
-        body = await self.orders.read_routing()
+        body = await self.api.read_routing()
         return web.Response(body=body, content_type="application/json")
 
     async def set_desired_version(self, request: web.Request) -> web.Response:
         """Set the desired version of a model's weights."""
         wire = decode_weights(await request.read())
-        await self.orders.set_desired_version(wire.model, wire.version)
+        await self.api.set_desired_version(wire.model, wire.version)
         return ack_response()
 
     async def heartbeat(self, request: web.Request) -> web.Response:
         """Record a heartbeat of a target."""
         target_id = request.match_info["target_id"]
-        self.orders.observe_target(decode_heartbeat(target_id, await request.read()))
+        self.api.observe_target(decode_heartbeat(target_id, await request.read()))
         return ack_response()
 
     async def leave(self, request: web.Request) -> web.Response:
         """Record that a target is shutting down."""
-        self.orders.remove_target(request.match_info["target_id"])
+        self.api.remove_target(request.match_info["target_id"])
         return ack_response()
 
 
--- a/src/wisteriapulley/platform/documents.py
+++ b/src/wisteriapulley/platform/documents.py
@@ -106,7 +106,7 @@
 
 
 class WireConfiguration(msgspec.Struct):
-    """The whole configuration, which an operator replaces at once."""
+    """The complete configuration, which an operator replaces at once."""
 
     version: int
     routes: list[WireRoute] = []
@@ -271,12 +271,12 @@
 
 
 def decode_weights(body: bytes) -> WireWeights:
-    """Decode an order that sets the desired version of a model's weights.
+    """Decode a call that sets the desired version of a model's weights.
 
     Raises
     ------
     CatalogueError
-        CATALOGUE_ENTRY_INVALID: the order can't be decoded.
+        CATALOGUE_ENTRY_INVALID: the body can't be decoded.
     """
     try:
         return msgspec.json.decode(body, type=WireWeights)
--- a/src/wisteriapulley/platform/engine.py
+++ b/src/wisteriapulley/platform/engine.py
@@ -13,7 +13,7 @@
 from wisteriapulley.rollout.engine import EngineReport, OrderOutcome
 from wisteriapulley.settings import Address
 
-# The engine runs on the same instance, so a longer call has hung.
+# Time limit of a call: the engine runs on the same instance, so a longer call has hung.
 CALL_TIMEOUT_S = 2.0
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
--- a/src/wisteriapulley/platform/http.py
+++ b/src/wisteriapulley/platform/http.py
@@ -5,10 +5,11 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-# Connecting within a region takes a millisecond. A host without power does not
-# respond at all, and the request must keep enough time for another target.
+# Time limit for connecting, which takes a millisecond within a region. A host without
+# power does not respond at all, and the request must keep enough time for another
+# target.
 CONNECT_TIMEOUT_S = 0.4
-# Less than the time after which targets close idle connections.
+# How long an idle connection is kept: less than the time after which targets close it.
 KEEPALIVE_S = 4.0
 DEFAULT_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 NO_LIMIT = 0
--- a/src/wisteriapulley/platform/ingress.py
+++ b/src/wisteriapulley/platform/ingress.py
@@ -20,12 +20,15 @@
 
 log = logging.getLogger(__name__)
 
-# Above the operator's limits, so that those take effect first.
+# Maximum length of a header line, above the operator's limits, so that those take
+# effect first.
 MAX_HEADER_BYTES = 65536
-# Longer than the operator's idle limit, within which callers may reuse a connection.
+# Time until an idle connection is closed: longer than the operator's idle limit, within
+# which callers may reuse a connection.
 KEEPALIVE_S = 75.0
-# For connections that are still open after all requests have ended.
+# Time limit for closing connections that are still open after all requests have ended.
 CLOSE_TIMEOUT_S = 0.2
+# How long a caller waits that does not state it.
 DEFAULT_MAX_WAIT_MS = 30_000
 STATUS_BY_REFUSAL = {
     RefusalKind.NO_ROUTE: 404,
--- a/src/wisteriapulley/platform/origin.py
+++ b/src/wisteriapulley/platform/origin.py
@@ -8,7 +8,8 @@
 from wisteriapulley.platform.http import HttpClient
 from wisteriapulley.weights.pieces import PieceManifest
 
-# A piece takes 26 ms of the origin's link, which several callers share.
+# Time limit for a piece, which takes 26 ms on the origin's link; several callers share
+# that link.
 PIECE_TIMEOUT_S = 0.7
 MANIFEST_TIMEOUT_S = 1.5
 HTTP_OK = 200
--- a/src/wisteriapulley/weights/chunk_download.py
+++ b/src/wisteriapulley/weights/chunk_download.py
@@ -248,7 +248,7 @@
         """
         link = self.swarm.open_link(node_id)
         if link is None:
-            raise WireError(ResultCode.LINK_CLOSED, node_id)
+            raise WireError(ResultCode.LINK_CLOSED, f"no open link to {node_id}")
         call = link.call(messages.ChunkQuery(span.digest, self.version, span.index))
         complete = False
         try:
--- a/src/wisteriapulley/weights/origin.py
+++ b/src/wisteriapulley/weights/origin.py
@@ -13,7 +13,7 @@
     """
 
     name = key = "origin"
-    # Fills a link of 10 Mbit/s with a few milliseconds of latency.
+    # Enough to fill a link of 10 Mbit/s with a few milliseconds of latency.
     max_in_flight = 4
 
     def __init__(self, source: PieceSource):
--- a/src/wisteriapulley/weights/pace.py
+++ b/src/wisteriapulley/weights/pace.py
@@ -9,10 +9,10 @@
 import time
 from collections.abc import Callable
 
-# Timers of a busy event loop fire late; up to this much idle time is made up for.
+# Idle time of the link that may be used later: timers of a busy event loop fire late.
 MAX_IDLE_CREDIT_S = 0.05
-# Limits how far live requests delay weights: a target whose live requests fill its
-# link must still get the new version within an hour.
+# Longest delay of weights by live requests: a target whose live requests fill its link
+# must still get the new version within an hour.
 MAX_LIVE_DEBT_S = 0.5
 # A part occupies the link for about this long; a live response waits less than that.
 PART_DURATION_S = 0.02
--- a/src/wisteriapulley/weights/relay.py
+++ b/src/wisteriapulley/weights/relay.py
@@ -22,12 +22,13 @@
 
 log = logging.getLogger(__name__)
 
-# Fills a link of 10 Mbit/s with a few milliseconds of latency, and queues at most
-# 130 kB on it.
+# Pieces in flight from one source to this instance: they fill a link of 10 Mbit/s with
+# a few milliseconds of latency, and queue at most 130 kB on it.
 MAX_PIECES_IN_FLIGHT = 4
-# Twice what the upstream instance's link to the origin delivers in the meantime.
-# Consensus log entries and state updates share the connection; behind 64 KiB they wait
-# at most 39 ms on a link of 13.5 Mbit/s between regions.
+# Pieces in flight over a link to another control instance: twice what the link of that
+# upstream instance to the origin delivers while they are in flight. Log records and
+# state updates share the connection; behind 64 KiB they wait at most 39 ms on a link of
+# 13.5 Mbit/s between regions.
 MAX_PIECES_PER_LINK = 2
 # A piece takes 26 ms on a link of 10 Mbit/s; after this time-out another source is
 # asked.
@@ -47,17 +48,17 @@
 # Delay of a `ThrottledHolder` after a failure, so that the instance that all others
 # fetch from is the first to detect that the origin has recovered.
 THROTTLED_RETRY_DELAY_S = 1.0
-# The origin may send corrupted bytes and drop connections.
+# Attempts for one piece: the origin may send corrupted bytes and drop connections.
 MAX_ATTEMPTS = 8
-# A retry costs at most one connection, and a short delay detects the origin's recovery
-# early.
+# Delay before a retry. A retry costs at most one connection, and a short delay detects
+# the origin's recovery early.
 RETRY_DELAY_S = 0.1
 # Delay before the missing pieces are requested again after a failed round.
 ROUND_RETRY_DELAY_S = 0.2
 # After this many attempts at the upstream instance, one goes to the origin itself, in
 # case the upstream alone is cut off from the origin.
 ATTEMPTS_BEFORE_ORIGIN = 5
-# The current version and the one that supersedes it.
+# Versions of a model that are kept: the newest and the one that it supersedes.
 KEPT_VERSIONS = 2
 
 PieceKey = tuple[str, int, int]
--- a/src/wisteriapulley/weights/schedule.py
+++ b/src/wisteriapulley/weights/schedule.py
@@ -21,7 +21,7 @@
 # burst (figures: docs/design/burst.md); with more, rarest first decides on stale
 # holder counts.
 MAX_PEER_FETCHES = 24
-# Limits how much of the fetch window one slow neighbour can occupy.
+# Fetches in flight from one neighbour, so that a slow one can't occupy the window.
 MAX_FETCHES_PER_PEER = 2
 # Two requests keep the origin's link busy over a round trip; with more, the
 # requests of 820 seeders would only queue at the origin.
@@ -39,6 +39,7 @@
 # A slow trickle of new chunks extends a rank's delay at most by this factor;
 # otherwise it could postpone the next rank forever.
 MAX_RANK_DELAY_FACTOR = 20
+# Weight of a new sample in the moving average of fetch latencies.
 LATENCY_EWMA_WEIGHT = 0.125
 # The reader of the origin's responses has its own time-outs; this deadline frees
 # fetches that they miss.
--- a/src/wisteriapulley/weights/swarm.py
+++ b/src/wisteriapulley/weights/swarm.py
@@ -173,7 +173,7 @@
             self.publish_timer = loop.call_later(PUBLISH_INTERVAL_S, self.publish_have)
 
     def publish_have(self, announce_all: bool = False) -> None:
-        """Announce new chunks to the neighbours that do not hold the whole version.
+        """Announce new chunks to the neighbours that do not hold the complete version.
 
         Parameters
         ----------
--- a/src/wisteriapulley/weights/upload.py
+++ b/src/wisteriapulley/weights/upload.py
@@ -10,8 +10,8 @@
 
 log = logging.getLogger(__name__)
 
-# Two uploads keep the link busy when one neighbour reads slowly; with more, all chunks
-# would arrive late together instead of one after the other.
+# Uploads at once: two keep the link busy when one neighbour reads slowly; with more,
+# all chunks would arrive late together instead of one after the other.
 MAX_PARALLEL_UPLOADS = 2
 # A neighbour that reads nothing for this long must not occupy an upload slot.
 SEND_TIMEOUT_S = 5.0
--- a/src/wisteriapulley/wire/flow.py
+++ b/src/wisteriapulley/wire/flow.py
@@ -6,8 +6,9 @@
 
 import asyncio
 
-# Allows 25 MB per second at a round trip time of 10 ms, and limits how much of one
-# answer an entry buffers: 1,000 slow callers take at most 256 MB.
+# Bytes of one answer in flight. Allows 25 MB per second at a round trip time of 10 ms,
+# and limits how much of one answer an entry buffers: 1,000 slow callers take at most
+# 256 MB.
 ANSWER_WINDOW_BYTES = 1 << 18
 # Each credit frame grants half a window, so small answers need none.
 CREDIT_BYTES = ANSWER_WINDOW_BYTES // 2
--- a/src/wisteriapulley/wire/link.py
+++ b/src/wisteriapulley/wire/link.py
@@ -22,13 +22,14 @@
 log = logging.getLogger(__name__)
 
 HANDSHAKE_TIMEOUT_S = 5.0
-# A host without power does not respond, and a short time-out lets the next attempt
-# reach it soon after it is back. Far above a round trip between regions.
+# Time limit for connecting. A host without power does not respond, and a short time-out
+# lets the next attempt reach it soon after it is back. Far above a round trip between
+# regions.
 CONNECT_TIMEOUT_S = 1.0
 # Limit of a handshake frame, which comes from a peer that is not authenticated yet.
 MAX_HANDSHAKE_BYTES = 4096
-# A peer that sends heartbeats but does not read would let the write buffer grow
-# without limit.
+# A link with more unsent bytes is closed: a peer that sends heartbeats but does not
+# read would let the write buffer grow without limit.
 MAX_WRITE_BUFFER_BYTES = 128 << 20
 Handler = Callable[["Link", Frame], Awaitable[None]]
 
@@ -89,7 +90,9 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Close the link."""
-        self.close(WireError(ResultCode.LINK_CLOSED, f"{self.peer_id}: {error}"))
+        self.close(
+            WireError(ResultCode.LINK_CLOSED, f"link to {self.peer_id} lost: {error}")
+        )
 
     def pause_writing(self) -> None:
         """Make `drain` wait."""
@@ -217,7 +220,9 @@
             The link is closed.
         """
         if self.closed.is_set():
-            raise self.reason or WireError(ResultCode.LINK_CLOSED, self.peer_id)
+            raise self.reason or WireError(
+                ResultCode.LINK_CLOSED, f"the link to {self.peer_id} is closed"
+            )
         if self.write_buffer_bytes() > MAX_WRITE_BUFFER_BYTES:
             self.close(
                 WireError(ResultCode.LINK_SILENT, f"{self.peer_id} does not read")
@@ -361,7 +366,9 @@
         """Close the link; every in-flight call receives `reason`."""
         if self.closed.is_set():
             return
-        self.reason = reason or WireError(ResultCode.LINK_CLOSED, self.peer_id)
+        self.reason = reason or WireError(
+            ResultCode.LINK_CLOSED, f"this process closed the link to {self.peer_id}"
+        )
         self.closed.set()
         self.data_arrived.set()
         self.writable.set()
--- a/tests/test_operator_client.py
+++ b/tests/test_operator_client.py
@@ -49,7 +49,7 @@
 
 @pytest.fixture
 def server(monkeypatch):
-    monkeypatch.setattr(operator_client, "RETRY_PAUSE_S", 0)
+    monkeypatch.setattr(operator_client, "RETRY_DELAY_S", 0)
     server = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
     server.catalogue, server.sent, server.lose = Catalogue(), [], 0
     threading.Thread(target=server.serve_forever, daemon=True).start()
