--- a/tests/test_consensus_fleet.py
+++ b/tests/test_consensus_fleet.py
@@ -94,6 +94,13 @@
         with pytest.raises(RuntimeError, match="WP606"):
             fleet.run_cli("control", "remove", leader, *options)
 
+    def test_running_leader_transfers_leadership_and_is_removed(self, fleet):
+        leader = members(fleet)["leader"]
+        fleet.run_cli("control", "remove", leader, *fleet.operator_options(OWNER))
+        after = members(fleet)
+        assert after["leader"] not in ("", leader)
+        assert leader not in [m["node_id"] for m in after["members"]]
+
     def test_leader_serves_no_reads_after_a_freeze(self, fleet):
         before = members(fleet)
         frozen = fleet.nodes[before["leader"]]
