--- a/src/wisteriapulley/control/client.py
+++ b/src/wisteriapulley/control/client.py
@@ -21,18 +21,18 @@
 
 PROPOSE_TIMEOUT_S = 4.0
 LEASE_TIMEOUT_S = 2.0
-# Longer than a control instance waits for its quorum.
+# Time limit of a watch request: longer than a control instance waits for its quorum.
 WATCH_TIMEOUT_S = 5.0
 CONFIRM_RETRY_S = 1.0
-# With 820 nodes downloading in a burst, reporting each step of progress several
-# times a second would keep a control instance busy. Only progress is delayed; a
-# change of state or revision is reported at once.
+# Delay of a report that differs only in progress; a change of state or revision is
+# reported at once. With 820 nodes downloading in a burst, reporting each step several
+# times a second would keep a control instance busy.
 PROGRESS_REPORT_DELAY_S = 2.0
 # A control instance that has known no leader for this long counts as isolated, and
 # its nodes try another one.
 ISOLATED_TIMEOUT_S = 3.0
-# Without a quorum no instance is better than another, and 1,330 nodes would switch
-# every few seconds. So the timeout doubles with each switch, up to this value.
+# Upper bound of that timeout, which doubles with each switch: without a quorum no
+# instance is better than another, and 1,330 nodes would switch every few seconds.
 MAX_ISOLATED_TIMEOUT_S = 120.0
 ISOLATED_STATE = "isolated"
 
--- a/src/wisteriapulley/control/driver.py
+++ b/src/wisteriapulley/control/driver.py
@@ -137,7 +137,7 @@
             self.suspend(self.storage.failure)
         self.syncing_since_ms: float | None = None
         # Newest link that a peer opened to this instance, by node id. It may be open
-        # before this instance's own connection has connected.
+        # before this instance's own connection to the peer is.
         self.accepted_links: dict[str, Link] = {}
 
     def new_replica(self, identity: DiskIdentity, since_ms: float) -> Replica:
--- a/src/wisteriapulley/control/fanout.py
+++ b/src/wisteriapulley/control/fanout.py
@@ -13,8 +13,8 @@
 from wisteriapulley.wire import Link, messages
 
 # A change goes to all watchers of an instance, some of them frozen or behind a
-# stalled connection; without a limit each such link would grow a queue. A larger buffer
-# than twice that of a kernel's socket would only delay newer revisions.
+# stalled connection; without a limit each such link would grow a queue. A limit of
+# twice a kernel's socket buffer would only delay newer revisions.
 MAX_BUFFERED_BYTES = 256 << 10
 
 
--- a/src/wisteriapulley/control/following.py
+++ b/src/wisteriapulley/control/following.py
@@ -310,7 +310,9 @@
     @singledispatchmethod
     def receive(self, message: tuple) -> None:
         """Handle a message, by its type."""
-        log.warning("unexpected %s", type(message).__name__)
+        log.warning(
+            "unexpected message %s from a control instance", type(message).__name__
+        )
 
     @receive.register
     def receive_routing(self, message: messages.RoutingNews) -> None:
--- a/src/wisteriapulley/control/operators.py
+++ b/src/wisteriapulley/control/operators.py
@@ -13,8 +13,8 @@
 from wisteriapulley.errors import CODE_TABLE, CatalogueError, ResultCode
 
 BEARER = "Bearer "
-# Enough for a change of every entry at about 300 bytes each. Without a limit one body
-# could fill the log and the memory of every follower.
+# Maximum size of a change: enough for one of every entry at about 300 bytes each.
+# Without a limit one body could fill the log and the memory of every follower.
 MAX_CHANGE_BYTES = 1 << 20
 
 
--- a/src/wisteriapulley/platform/documents.py
+++ b/src/wisteriapulley/platform/documents.py
@@ -122,7 +122,8 @@
     version: int
 
 
-# Fits the integer fields of a frame and exceeds any count of a running target.
+# Range of a count: fits the integer fields of a frame and exceeds any count of a
+# running target.
 Count = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
 Slots = Annotated[int, msgspec.Meta(ge=1, le=1 << 16)]
 ColdMs = Annotated[float, msgspec.Meta(ge=0, le=3_600_000)]
--- a/src/wisteriapulley/policy/admission.py
+++ b/src/wisteriapulley/policy/admission.py
@@ -5,8 +5,8 @@
 from wisteriapulley.catalogue.entry import Limits
 from wisteriapulley.errors import RequestError, ResultCode
 
-# Each bucket takes about 200 bytes. A full table evicts the account that was idle
-# longest: its bucket would be nearly full again anyway.
+# Maximum number of buckets, of about 200 bytes each. A full table evicts the account
+# that was idle longest: its bucket would be nearly full again anyway.
 MAX_BUCKETS = 10_000
 
 
--- a/src/wisteriapulley/policy/answer_times.py
+++ b/src/wisteriapulley/policy/answer_times.py
@@ -13,11 +13,11 @@
 MEAN_GAIN = 0.125
 DEVIATION_GAIN = 0.25
 DEVIATIONS = 4.0
-# A busy process answers within one turn of its event loop; a shorter wait would hit
-# healthy sidecars.
+# Shortest wait: a busy process answers within one iteration of its event loop, and a
+# shorter wait would hit healthy sidecars.
 MIN_WAIT_S = 0.025
-# Far above any response time of a healthy sidecar, and far below an objective, so that
-# another sidecar can still be asked.
+# Longest wait: far above any response time of a healthy sidecar, and far below an
+# objective, so that another sidecar can still be asked.
 MAX_WAIT_S = 0.12
 # Half-life of a recorded slow response: the sidecar is asked again by then, since
 # nothing else shows that it has recovered.
--- a/src/wisteriapulley/policy/retry.py
+++ b/src/wisteriapulley/policy/retry.py
@@ -1,8 +1,9 @@
 """Retry budget: the fraction of admitted requests that may be sent again."""
 
-# If all requests fail, the load grows by 10 %, not by the number of attempts.
+# Retries that each admitted request adds to the budget: if all requests fail, the load
+# grows by 10 %, not by the number of attempts.
 RETRY_RATIO = 0.1
-# Lets an entry with little traffic retry at all.
+# Initial budget: lets an entry with little traffic retry at all.
 INITIAL_RETRIES = 10.0
 MAX_RETRIES = 100.0
 
--- a/src/wisteriapulley/policy/scheduler.py
+++ b/src/wisteriapulley/policy/scheduler.py
@@ -14,7 +14,7 @@
 from wisteriapulley.policy.service_times import ServiceTimes
 from wisteriapulley.policy.work import TargetView, Work
 
-# Bounds the memory of one service's queue, whatever deadlines allow.
+# Maximum length of one service's queue: bounds its memory, whatever deadlines allow.
 MAX_QUEUED = 10_000
 # Earliest retry: a caller that retries sooner would arrive during the same burst.
 MIN_RETRY_MS = 100
@@ -24,8 +24,9 @@
 # and later arrivals may go first: without headroom, half of the admitted requests would
 # be refused late instead of at once.
 WAIT_HEADROOM = 1.3
-# Factor on the expected time of a request that is sent as a probe: the probed target
-# was at least three times slower than its peers.
+# A request is sent as a probe only if it meets its deadline even when it takes this
+# many times its upper bound: the probed target was at least three times slower than its
+# peers.
 PROBE_SLACK = 10.0
 
 
--- a/src/wisteriapulley/policy/service_times.py
+++ b/src/wisteriapulley/policy/service_times.py
@@ -4,13 +4,14 @@
 
 from wisteriapulley.policy.work import Work, size_class
 
-# Each sample moves the estimate by a tenth: it follows a change within about twenty
-# requests, and a single outlier has little effect.
+# Weight of a new sample: the estimate follows a change within about twenty requests,
+# and a single outlier has little effect.
 SMOOTHING = 0.1
 # Mean deviations added in the deadline test: an estimate that is too low admits work
 # that misses its deadline after all, and wastes a target's time.
 DEVIATIONS = 2.0
-# Bounds the table; kinds come from the catalogue and classes are powers of two.
+# Maximum size of the table; kinds come from the catalogue and size classes are powers
+# of two.
 MAX_CLASSES = 4096
 
 
--- a/src/wisteriapulley/policy/token_bucket.py
+++ b/src/wisteriapulley/policy/token_bucket.py
@@ -1,6 +1,7 @@
 """Token bucket: a rate with a bounded burst. Pure."""
 
-# In tokens: a caller that comes exactly when a token is due gets it.
+# Tolerance for rounding errors, in tokens: a caller that comes exactly when a token is
+# due gets it.
 TOLERANCE = 1e-9
 
 
--- a/src/wisteriapulley/weights/relay.py
+++ b/src/wisteriapulley/weights/relay.py
@@ -33,7 +33,8 @@
 # A piece takes 26 ms on a link of 10 Mbit/s; after this time-out another source is
 # asked.
 PIECE_TIMEOUT_S = 0.8
-# Leaves time for more than one request for the manifest to the origin.
+# Time limit of a manifest request to another instance: leaves it time for more than one
+# request to the origin.
 MANIFEST_TIMEOUT_S = 3.0
 # How long a request waits here for a manifest that is not available yet; shorter than
 # the caller's time-out.
--- a/src/wisteriapulley/wire/reconnect.py
+++ b/src/wisteriapulley/wire/reconnect.py
@@ -83,7 +83,7 @@
                 await self.run_link(address)
                 connected_s = steady_s()
             except WisteriapulleyError as error:
-                log.debug("link to %s: %s", address, error)
+                log.debug("link to %s failed: %s", address, error)
             await asyncio.sleep(
                 reconnect_delay_s(steady_s() - connected_s, self.rng.random())
             )
