--- a/tests/matrix/__main__.py
+++ b/tests/matrix/__main__.py
@@ -17,18 +17,18 @@
 
 from tests.matrix.cell import (
     Cell,
-    Result,
+    CellResult,
     all_cells,
+    not_applicable_reason,
     run_cell,
-    skipped,
-    why_not_applicable,
+    skipped_result,
 )
 from tests.matrix.page import write_page
-from tests.matrix.rig import FOLDER, Rig
+from tests.matrix.relayed_fleet import DEFAULT_FOLDER, RelayedFleet
 
 STATES = ("held", "broken", "not_run", "not_applicable")
-CELL_S = 90.0
-KEPT = "results.json"
+CELL_TIMEOUT_S = 90.0
+RESULTS_FILE = "results.json"
 
 
 @dataclasses.dataclass
@@ -39,50 +39,52 @@
     cells: list[Cell]
     seed: int
     build: str
-    until: float
+    deadline: float
     folder: Path
 
-    async def run(self) -> list[Result]:
+    async def run(self) -> list[CellResult]:
         """Run them; a fleet that did not recover is replaced."""
-        results: list[Result] = []
-        rig: Rig | None = None
+        results: list[CellResult] = []
+        fleet: RelayedFleet | None = None
         for number, cell in enumerate(self.cells):
-            if time.monotonic() > self.until:
-                results.append(skipped(cell, self.seed, "not_run", "out of time"))
+            if time.monotonic() > self.deadline:
+                results.append(
+                    skipped_result(cell, self.seed, "not_run", "out of time")
+                )
                 continue
             try:
-                if rig is None:
-                    rig = await self.start_rig()
-                async with asyncio.timeout(CELL_S):
-                    result = await run_cell(rig, cell, number, self.seed)
+                if fleet is None:
+                    fleet = await self.start_fleet()
+                async with asyncio.timeout(CELL_TIMEOUT_S):
+                    result = await run_cell(fleet, cell, number, self.seed)
             except (RuntimeError, TimeoutError, OSError) as error:
                 reason = f"the cell could not run: {str(error)[:200] or repr(error)}"
-                result = skipped(cell, self.seed, "not_run", reason)
+                result = skipped_result(cell, self.seed, "not_run", reason)
                 result = result._replace(recovered=False)
-            say(result)
+            print_result(result)
             results.append(result)
-            if not result.recovered and rig is not None:
-                await rig.close()
-                rig = None
-        if rig is not None:
-            await rig.close()
+            if not result.recovered and fleet is not None:
+                await fleet.close()
+                fleet = None
+        if fleet is not None:
+            await fleet.close()
         return results
 
-    async def start_rig(self) -> Rig:
+    async def start_fleet(self) -> RelayedFleet:
         """Start a fleet; again when another process took one of its ports."""
         for last in (False, False, True):
-            rig = Rig(self.folder / f"fleet-{self.number}", self.build)
+            fleet = RelayedFleet(self.folder / f"fleet-{self.number}", self.build)
             try:
-                await rig.start()
-                return rig
+                await fleet.start()
+                return fleet
             except RuntimeError:
-                await rig.close()
+                await fleet.close()
                 if last:
                     raise
         raise AssertionError("unreachable")
 
 
-def say(result: Result) -> None:
+def print_result(result: CellResult) -> None:
     """Print one cell, so that a long run shows what it found."""
     broken = [
         f"{name}: {found.reason}"
@@ -100,11 +102,11 @@
         print(f"    {line}", flush=True)
 
 
-def chosen(only: str) -> list[Cell]:
+def select_cells(only: str) -> list[Cell]:
     """Return the cells that ``--only`` names; ``fault=a|b,step=c``."""
-    wanted = dict(part.split("=") for part in only.split(",") if part)
-    faults = set(wanted.get("fault", "").split("|")) - {""}
-    steps = set(wanted.get("step", "").split("|")) - {""}
+    filters = dict(part.split("=") for part in only.split(",") if part)
+    faults = set(filters.get("fault", "").split("|")) - {""}
+    steps = set(filters.get("step", "").split("|")) - {""}
     return [
         cell
         for cell in all_cells()
@@ -113,14 +115,14 @@
     ]
 
 
-def run_shards(args: argparse.Namespace, cells: list[Cell]) -> list[Result]:
+def run_shards(args: argparse.Namespace, cells: list[Cell]) -> list[CellResult]:
     """Run the cells on `fleets` processes of this program."""
     processes = []
     args.folder.mkdir(exist_ok=True)
     for number in range(args.fleets):
-        mine = [c.name for c in cells[number :: args.fleets]]
+        shard_cells = [c.name for c in cells[number :: args.fleets]]
         path = args.folder / f"cells-{number}.json"
-        path.write_text(json.dumps(mine))
+        path.write_text(json.dumps(shard_cells))
         (args.folder / f"results-{number}.json").unlink(missing_ok=True)
         command = ["--shard", str(number), "--seed", str(args.seed)]
         command += ["--seconds", str(args.seconds), "--build", args.build]
@@ -128,26 +130,33 @@
         processes.append(
             subprocess.Popen([sys.executable, "-m", "tests.matrix", *command])
         )
-    results: list[Result] = []
+    results: list[CellResult] = []
     for number, process in enumerate(processes):
         process.wait()
         path = args.folder / f"results-{number}.json"
         if path.exists():
-            results += msgspec.json.decode(path.read_bytes(), type=list[Result])
+            results += msgspec.json.decode(path.read_bytes(), type=list[CellResult])
             continue
         reason = f"fleet {number} ended with {process.returncode}"
-        mine = cells[number :: args.fleets]
-        results += [skipped(cell, args.seed, "not_run", reason) for cell in mine]
+        shard_cells = cells[number :: args.fleets]
+        results += [
+            skipped_result(cell, args.seed, "not_run", reason) for cell in shard_cells
+        ]
     return results
 
 
 def run_shard(args: argparse.Namespace) -> None:
     """Run one shard's cells and leave the results in a file."""
     names = json.loads((args.folder / f"cells-{args.shard}.json").read_text())
-    named = {cell.name: cell for cell in all_cells()}
-    until = time.monotonic() + args.seconds
+    cells_by_name = {cell.name: cell for cell in all_cells()}
+    deadline = time.monotonic() + args.seconds
     shard = Shard(
-        args.shard, [named[n] for n in names], args.seed, args.build, until, args.folder
+        args.shard,
+        [cells_by_name[n] for n in names],
+        args.seed,
+        args.build,
+        deadline,
+        args.folder,
     )
     results = asyncio.run(shard.run())
     (args.folder / f"results-{args.shard}.json").write_bytes(
@@ -163,7 +172,7 @@
     parser.add_argument("--fleets", type=int, default=2)
     parser.add_argument("--seconds", type=float, default=3600)
     parser.add_argument("--build", default="", help="broken build, to prove a check")
-    parser.add_argument("--folder", type=Path, default=FOLDER)
+    parser.add_argument("--folder", type=Path, default=DEFAULT_FOLDER)
     parser.add_argument("--shard", type=int, default=-1)
     parser.add_argument("--keep-page", action="store_true", help="print only")
     parser.add_argument("--again", action="store_true", help="only what is not held")
@@ -172,27 +181,31 @@
     if args.shard >= 0:
         run_shard(args)
         return 0
-    wanted = chosen(args.only)
+    selected = select_cells(args.only)
     if args.again:
-        held = settled(args.folder / KEPT)
-        wanted = [cell for cell in wanted if cell.name not in held]
-    reasons = {cell: why_not_applicable(cell) for cell in wanted}
+        held = held_cells(args.folder / RESULTS_FILE)
+        selected = [cell for cell in selected if cell.name not in held]
+    reasons = {cell: not_applicable_reason(cell) for cell in selected}
     results = [
-        skipped(cell, args.seed, "not_applicable", reason)
+        skipped_result(cell, args.seed, "not_applicable", reason)
         for cell, reason in reasons.items()
         if reason
     ]
-    results += run_shards(args, [cell for cell in wanted if not reasons[cell]])
-    figures = count(results)
+    results += run_shards(args, [cell for cell in selected if not reasons[cell]])
+    figures = count_states(results)
     if not args.build and not args.keep_page:
-        everything = merged(results, args.folder / KEPT) if args.merge else results
-        (args.folder / KEPT).write_bytes(msgspec.json.encode(everything))
-        write_page(everything, count(everything))
+        everything = (
+            merge_results(results, args.folder / RESULTS_FILE)
+            if args.merge
+            else results
+        )
+        (args.folder / RESULTS_FILE).write_bytes(msgspec.json.encode(everything))
+        write_page(everything, count_states(everything))
     print(json.dumps(figures))
     return 1 if figures["broken"] else 0
 
 
-def count(results: list[Result]) -> dict:
+def count_states(results: list[CellResult]) -> dict:
     """Count cells, and promises by state."""
     states = [p.state for r in results for p in r.promises.values()]
     figures: dict = {"cells": len({result.cell for result in results})}
@@ -200,9 +213,9 @@
     return figures | {"seeds": sorted({result.seed for result in results})}
 
 
-def settled(path: Path) -> set[str]:
+def held_cells(path: Path) -> set[str]:
     """Return the cells of earlier runs that held and served again."""
-    results = msgspec.json.decode(path.read_bytes(), type=list[Result])
+    results = msgspec.json.decode(path.read_bytes(), type=list[CellResult])
     done = {"held", "not_applicable"}
     return {
         result.cell
@@ -211,11 +224,11 @@
     }
 
 
-def merged(results: list[Result], path: Path) -> list[Result]:
+def merge_results(results: list[CellResult], path: Path) -> list[CellResult]:
     """Replace results of earlier slices by these, cell by cell and seed by seed."""
-    kept: dict[tuple[str, int], Result] = {}
+    kept: dict[tuple[str, int], CellResult] = {}
     if path.exists():
-        for result in msgspec.json.decode(path.read_bytes(), type=list[Result]):
+        for result in msgspec.json.decode(path.read_bytes(), type=list[CellResult]):
             kept[result.cell, result.seed] = result
     for result in results:
         ran = any(p.state != "not_run" for p in result.promises.values())
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -10,10 +10,10 @@
 
 from tests.fakes.caller import EXPIRY_MS, MAX_SENDS, Callers, Outcome, Workload
 
-HEALTH_S = 0.2
+HEALTH_POLL_S = 0.2
 
 
-class Send(NamedTuple):
+class SendRecord(NamedTuple):
     """One send of one request; `started` and `ended` in wall clock seconds."""
 
     started: float
@@ -42,7 +42,7 @@
         super().__init__(entries, workloads, rate, seed)
         self.all_entries = list(entries)
         self.prefix = prefix
-        self.sends: list[Send] = []
+        self.sends: list[SendRecord] = []
         self.request_names = (f"{prefix}-{i}" for i in itertools.count(1))
 
     async def run(self) -> None:
@@ -69,11 +69,13 @@
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def resend_lost(self, workload: Workload, count: int = 6) -> None:
+    async def hang_up_and_resend(self, workload: Workload, count: int = 6) -> None:
         """Hang up on keyed requests and send the same again elsewhere."""
-        await asyncio.gather(*(self.resend_one(workload) for _ in range(count)))
+        await asyncio.gather(
+            *(self.hang_up_and_resend_one(workload) for _ in range(count))
+        )
 
-    async def resend_one(self, workload: Workload) -> None:
+    async def hang_up_and_resend_one(self, workload: Workload) -> None:
         """Hang up before the answer, then resend until it is answered."""
         self.started += 1
         name = next(self.request_names)
@@ -96,7 +98,7 @@
         while True:
             ready = [url for url in self.all_entries if await self.is_ready(url)]
             self.entries = ready or self.all_entries
-            await asyncio.sleep(HEALTH_S)
+            await asyncio.sleep(HEALTH_POLL_S)
 
     async def is_ready(self, url: str) -> bool:
         """Ask one entry."""
@@ -117,5 +119,5 @@
             outcome = Outcome(name, account, "", 200, 0, False, False, True, "", 0.0)
         key = headers.get("Idempotency-Key", "")
         outcome = outcome._replace(key=key)
-        self.sends.append(Send(started, time.time(), outcome))
+        self.sends.append(SendRecord(started, time.time(), outcome))
         return outcome
--- a/tests/matrix/cell.py
+++ b/tests/matrix/cell.py
@@ -10,14 +10,19 @@
 import msgspec
 
 from tests.matrix.callers import CellCallers
-from tests.matrix.faults import FAULTS, Context
-from tests.matrix.promises import PROMISES, CellLog, Judgement, judge
-from tests.matrix.rig import ENTRIES, PLAIN, STEADY, Rig
+from tests.matrix.faults import FAULTS, CellContext
+from tests.matrix.promises import PROMISES, CellLog, PromiseResult, check_promises
+from tests.matrix.relayed_fleet import (
+    ENTRIES,
+    PLAIN_TARGETS,
+    STEADY_WORKLOADS,
+    RelayedFleet,
+)
 from tests.matrix.steps import STEPS
 
-RATE = 20.0
-LEAD_S = 0.3
-AFTER_S = 0.5
+REQUESTS_PER_S = 20.0
+WARM_UP_S = 0.3
+AFTER_FAULT_S = 0.5
 MATRIX = json.loads((Path(__file__).parent / "cells.json").read_text())
 
 
@@ -33,7 +38,7 @@
         return f"{'+'.join(self.faults)}@{self.step}"
 
 
-class Result(NamedTuple):
+class CellResult(NamedTuple):
     """What became of a cell."""
 
     cell: str
@@ -44,7 +49,7 @@
     answered: int
     refused: int
     failed: int
-    promises: dict[str, Judgement]
+    promises: dict[str, PromiseResult]
 
 
 def all_cells() -> Iterator[Cell]:
@@ -57,7 +62,7 @@
             yield Cell(tuple(pair), step)
 
 
-def why_not_applicable(cell: Cell) -> str:
+def not_applicable_reason(cell: Cell) -> str:
     """Return why a cell makes no sense; empty when it does."""
     for rule in MATRIX["not_applicable"]:
         if set(rule["faults"]) & set(cell.faults) and cell.step in rule["steps"]:
@@ -65,85 +70,91 @@
     return ""
 
 
-def every_promise(state: str, reason: str) -> dict[str, Judgement]:
+def same_result_for_all(state: str, reason: str) -> dict[str, PromiseResult]:
     """Give every promise the same judgement."""
-    return dict.fromkeys(PROMISES, Judgement(state, reason))
+    return dict.fromkeys(PROMISES, PromiseResult(state, reason))
 
 
-def skipped(cell: Cell, seed: int, state: str, reason: str) -> Result:
+def skipped_result(cell: Cell, seed: int, state: str, reason: str) -> CellResult:
     """Make the result of a cell that was not run."""
-    return Result(cell.name, seed, "", True, 0, 0, 0, 0, every_promise(state, reason))
+    return CellResult(
+        cell.name, seed, "", True, 0, 0, 0, 0, same_result_for_all(state, reason)
+    )
 
 
-async def run_cell(rig: Rig, cell: Cell, number: int, seed: int) -> Result:
+async def run_cell(
+    fleet: RelayedFleet, cell: Cell, number: int, seed: int
+) -> CellResult:
     """Run one cell on a fleet that serves."""
-    urls = [rig.nodes[name].http for name in ENTRIES]
-    callers = CellCallers(urls, STEADY, RATE, seed, f"c{number}")
-    context = Context(rig, callers)
-    first_sighting = len(rig.sightings)
+    urls = [fleet.nodes[name].http for name in ENTRIES]
+    callers = CellCallers(urls, STEADY_WORKLOADS, REQUESTS_PER_S, seed, f"c{number}")
+    context = CellContext(fleet, callers)
+    first_sample = len(fleet.revision_samples)
     load = asyncio.create_task(callers.run())
     try:
-        await asyncio.sleep(LEAD_S)
+        await asyncio.sleep(WARM_UP_S)
         victim = await STEPS[cell.step](context)
         if victim is None:
-            return skipped(cell, seed, "not_run", "the step was not seen")
+            return skipped_result(cell, seed, "not_run", "the step was not seen")
         await inject(context, cell, victim, random.Random(seed))
-        await asyncio.sleep(AFTER_S)
-        recovered = await rig.settle(context.revision)
+        await asyncio.sleep(AFTER_FAULT_S)
+        recovered = await fleet.wait_settled(context.revision)
     finally:
         callers.stopping = True
         await load
     log = CellLog(
         callers.started,
         callers.sends,
-        [r for r in rig.records("target-") if r["event"] == "ran"],
-        rig.versions,
+        [r for r in fleet.records("target-") if r["event"] == "ran"],
+        fleet.versions,
         context.stops,
-        context.cut_elsewhere,
+        context.may_cut_requests,
         context.accepted,
-        rig.sightings[first_sighting:],
-        context.faulted,
-        context.restarted,
-        context.operators,
+        fleet.revision_samples[first_sample:],
+        context.fault_ended_at,
+        context.restarted_nodes,
+        context.operator_errors,
     )
     prefix = f"c{number}-"
     log = log._replace(runs=[run for run in log.runs if prefix in run["prompt"]])
-    promises = judge(log)
+    promises = check_promises(log)
     if any(found.state == "broken" for found in promises.values()):
         evidence = msgspec.json.encode(log._replace(versions=sorted(log.versions)))
-        (rig.folder.parent / f"broken-{cell.name}-{seed}.json").write_bytes(evidence)
-    return summed(cell, seed, victim, recovered, callers, promises)
+        (fleet.folder.parent / f"broken-{cell.name}-{seed}.json").write_bytes(evidence)
+    return summarize(cell, seed, victim, recovered, callers, promises)
 
 
-async def inject(context: Context, cell: Cell, victim: str, rng) -> None:
+async def inject(context: CellContext, cell: Cell, victim: str, rng) -> None:
     """Inject a cell's faults: two together, or the same one again."""
-    choices = MATRIX["victims"]
-    running = getattr(context, "running", None)
+    allowed_victims = MATRIX["victims"]
+    pending_change = getattr(context, "pending_change", None)
     if len(cell.faults) == 2 and cell.faults[0] == cell.faults[1]:
         for fault in cell.faults:
             await FAULTS[fault](context, victim)
     else:
-        acts = []
+        injections = []
         for number, fault in enumerate(cell.faults):
-            hit = victim if number == 0 else other_victim(context, victim, rng)
-            if hit not in choices.get(fault, [hit]):
-                hit = rng.choice(choices[fault])
-            acts.append(FAULTS[fault](context, hit))
-        await asyncio.gather(*acts)
-    if running is not None:
-        await running
-
-
-def other_victim(context: Context, victim: str, rng) -> str:
+            node_id = (
+                victim if number == 0 else pick_second_victim(context, victim, rng)
+            )
+            if node_id not in allowed_victims.get(fault, [node_id]):
+                node_id = rng.choice(allowed_victims[fault])
+            injections.append(FAULTS[fault](context, node_id))
+        await asyncio.gather(*injections)
+    if pending_change is not None:
+        await pending_change
+
+
+def pick_second_victim(context: CellContext, victim: str, rng) -> str:
     """Choose a second victim: not the same, and no second control instance."""
-    names = [*ENTRIES, *PLAIN, "engine-1", "engine-3"]
+    names = [*ENTRIES, *PLAIN_TARGETS, "engine-1", "engine-3"]
     return rng.choice([name for name in names if name != victim])
 
 
-def summed(cell, seed, victim, recovered, callers, promises) -> Result:
+def summarize(cell, seed, victim, recovered, callers, promises) -> CellResult:
     """Sum a cell up."""
     outcomes = callers.outcomes
-    return Result(
+    return CellResult(
         cell.name,
         seed,
         victim,
--- a/tests/matrix/page.py
+++ b/tests/matrix/page.py
@@ -5,22 +5,22 @@
 from pathlib import Path
 
 from tests.fleet import ROOT
-from tests.matrix.cell import MATRIX, Result, all_cells
+from tests.matrix.cell import MATRIX, CellResult, all_cells
 from tests.matrix.promises import PROMISES
 
 PAGE = ROOT / "docs" / "FAULTS.md"
 BUILDS = json.loads((Path(__file__).parent / "broken.json").read_text())
 MARKS = {"broken": "**B**", "held": "H", "not_run": "–", "not_applicable": "·"}
 # The worst state that any seed showed counts; not run only when none ran.
-WORST = ("broken", "held", "not_run", "not_applicable")
+SEVERITY_ORDER = ("broken", "held", "not_run", "not_applicable")
 
 
-def write_page(results: list[Result], figures: dict) -> None:
+def write_page(results: list[CellResult], figures: dict) -> None:
     """Write the page."""
     PAGE.write_text("\n".join(page_lines(results, figures)) + "\n")
 
 
-def page_lines(results: list[Result], figures: dict) -> Iterator[str]:
+def page_lines(results: list[CellResult], figures: dict) -> Iterator[str]:
     """Yield the page's lines."""
     yield "# Fault matrix"
     yield ""
@@ -42,11 +42,13 @@
     yield ""
     for promise, meaning in PROMISES.items():
         yield from promise_table(promise, meaning, results)
-    yield from reasons(results)
-    yield from static_text()
+    yield from reason_lines(results)
+    yield from static_lines()
 
 
-def promise_table(promise: str, meaning: str, results: list[Result]) -> Iterator[str]:
+def promise_table(
+    promise: str, meaning: str, results: list[CellResult]
+) -> Iterator[str]:
     """Yield the table of one promise, a row for each fault or pair."""
     states: dict[str, set[str]] = {}
     for result in results:
@@ -58,7 +60,7 @@
     rows: dict[str, dict[str, str]] = {}
     for cell in all_cells():
         found = states.get(cell.name, {"not_run"})
-        worst = next(state for state in WORST if state in found)
+        worst = next(state for state in SEVERITY_ORDER if state in found)
         rows.setdefault(" + ".join(cell.faults), {})[cell.step] = MARKS[worst]
     for fault, marks in rows.items():
         cells = " | ".join(marks.get(step, "") for step in MATRIX["steps"])
@@ -66,7 +68,7 @@
     yield ""
 
 
-def reasons(results: list[Result]) -> Iterator[str]:
+def reason_lines(results: list[CellResult]) -> Iterator[str]:
     """Yield why cells broke, did not run or recover, or do not apply."""
     titles = {
         "broken": "Broken",
@@ -99,7 +101,7 @@
     yield ""
 
 
-def static_text() -> Iterator[str]:
+def static_lines() -> Iterator[str]:
     """Yield what is not proved, and how the checks were proved."""
     yield "## What is not proved"
     yield ""
@@ -115,11 +117,11 @@
     for name, build in BUILDS.items():
         old, new = build["old"].strip(), build["new"].strip()
         yield (
-            f"| {name} | {build['promise']} | `{build['module']}` | `{flat(old)}`"
-            f" | `{flat(new)}` | `--only {build['only']}` |"
+            f"| {name} | {build['promise']} | `{build['module']}` | `{one_line(old)}`"
+            f" | `{one_line(new)}` | `--only {build['only']}` |"
         )
 
 
-def flat(text: str) -> str:
+def one_line(text: str) -> str:
     """Put code on one line of a table."""
     return " ".join(text.split()).replace("|", "\\|")
--- a/tests/matrix/promises.py
+++ b/tests/matrix/promises.py
@@ -5,12 +5,12 @@
 from typing import NamedTuple
 
 from tests.fakes.caller import prompt_of
-from tests.matrix.callers import Send
+from tests.matrix.callers import SendRecord
 
-LEAVING_S = 3.0
-IN_FORCE_S = 12.0
+LEAVING_GRACE_S = 3.0
+PROPAGATION_LIMIT_S = 12.0
 # Wall clock stamps of two processes of one machine.
-STAMP_S = 0.05
+TIMESTAMP_TOLERANCE_S = 0.05
 
 PROMISES = {
     "whole_weights": "no answer from partial or mixed weights",
@@ -23,31 +23,31 @@
 }
 
 
-class Stop(NamedTuple):
+class GracefulStop(NamedTuple):
     """One graceful stop: when SIGTERM was sent and when it started again."""
 
     node_id: str
     role: str
-    at: float
-    started_again: float
+    sigterm_at: float
+    restarted_at: float
 
 
-class Sighting(NamedTuple):
+class RevisionSample(NamedTuple):
     """Revision of a node that one control instance showed."""
 
-    at: float
-    shown_by: str
+    observed_at: float
+    control: str
     node_id: str
     domain: str
     revision: int
 
 
-class Accepted(NamedTuple):
+class AcceptedChange(NamedTuple):
     """A change that an operator was told is accepted."""
 
     change_id: str
     revision: int
-    at: float
+    accepted_at: float
 
 
 class CellLog(NamedTuple):
@@ -67,7 +67,7 @@
     cut_elsewhere : bool
         Whether a fault other than SIGTERM could cut a request.
     accepted : list of Accepted
-    sightings : list of Sighting
+    samples : list of Sighting
     faulted : dict
         Node id to the time at which its last fault ended.
     restarted : set of str
@@ -76,39 +76,41 @@
         What operators were told wrongly.
     """
 
-    started: int
-    sends: list[Send]
+    request_count: int
+    sends: list[SendRecord]
     runs: list[dict]
     versions: set[str]
-    stops: list[Stop]
-    cut_elsewhere: bool
-    accepted: list[Accepted]
-    sightings: list[Sighting]
-    faulted: dict[str, float]
-    restarted: set[str]
-    operators: list[str]
+    stops: list[GracefulStop]
+    may_cut_requests: bool
+    accepted: list[AcceptedChange]
+    revision_samples: list[RevisionSample]
+    fault_ended_at: dict[str, float]
+    restarted_nodes: set[str]
+    operator_errors: list[str]
 
 
 def whole_weights(log: CellLog) -> Iterator[str]:
     """Yield answers that were made from mixed or unaccepted weights."""
-    delivered = {s.outcome.name for s in log.sends if answered(s)}
+    delivered = {s.outcome.name for s in log.sends if is_answered(s)}
     for run in log.runs:
         name = prompt_of(run)
         if name not in delivered or not run["version"] + run["version_at_end"]:
             continue
-        if run["version"] != run["version_at_end"] and not ran_elsewhere(log, run):
+        if run["version"] != run["version_at_end"] and not has_single_version_run(
+            log, run
+        ):
             yield f"{name} began with {run['version'][:8]!r}"
         if run["version"] not in log.versions:
             yield f"{name} of {run['version'][:8]!r}, which nobody accepted"
 
 
-def ran_elsewhere(log: CellLog, run: dict) -> bool:
+def has_single_version_run(log: CellLog, run: dict) -> bool:
     """Tell whether another run of the same request was of one version."""
     same = [r for r in log.runs if prompt_of(r) == prompt_of(run)]
     return any(r["version"] and r["version"] == r["version_at_end"] for r in same)
 
 
-def answered(send: Send) -> bool:
+def is_answered(send: SendRecord) -> bool:
     """Tell whether a send got a whole answer."""
     return send.outcome.status == 200 and send.outcome.complete
 
@@ -129,8 +131,8 @@
     for outcome in last.values():
         if outcome.status == 0:
             yield f"{outcome.name} got no answer in all its sends"
-    if len(last) != log.started:
-        yield f"{log.started - len(last)} requests never ended"
+    if len(last) != log.request_count:
+        yield f"{log.request_count - len(last)} requests never ended"
 
 
 def not_run(log: CellLog) -> Iterator[str]:
@@ -139,12 +141,16 @@
     sends = defaultdict(list)
     for send in log.sends:
         sends[send.outcome.name].append(send)
-    for name, own in sends.items():
-        for number, send in enumerate(own):
+    for name, own_sends in sends.items():
+        for number, send in enumerate(own_sends):
             if not send.outcome.not_run or send.outcome.status == 200:
                 continue
-            until = own[number + 1].started if number + 1 < len(own) else float("inf")
-            if any(send.started <= at < until for at in runs[name]):
+            next_send_at = (
+                own_sends[number + 1].started
+                if number + 1 < len(own_sends)
+                else float("inf")
+            )
+            if any(send.started <= at < next_send_at for at in runs[name]):
                 yield f"{name} refused with {send.outcome.code}, and ran"
 
 
@@ -175,48 +181,48 @@
         return None
     return (
         f"{prompt_of(run)} began at {run['engine']}"
-        f" {run['started_at'] - stop.at:.1f} s after its SIGTERM"
+        f" {run['started_at'] - stop.sigterm_at:.1f} s after its SIGTERM"
         for stop in stops
         for run in log.runs
         if run["engine"] == stop.node_id
-        and stop.at + LEAVING_S < run["started_at"] < stop.started_again
+        and stop.sigterm_at + LEAVING_GRACE_S < run["started_at"] < stop.restarted_at
     )
 
 
 def graceful(log: CellLog) -> Iterator[str] | None:
     """Yield requests in progress at a SIGTERM that were not answered whole."""
-    if not log.stops or log.cut_elsewhere:
+    if not log.stops or log.may_cut_requests:
         return None
     return (
         f"{send.outcome.name} in progress at SIGTERM of {stop.node_id} got"
         f" {send.outcome.status}/{send.outcome.code}"
         for stop in log.stops
         for send in log.sends
-        if send.started + STAMP_S < stop.at < send.ended
-        and not answered(send)
+        if send.started + TIMESTAMP_TOLERANCE_S < stop.sigterm_at < send.ended
+        and not is_answered(send)
         and not send.outcome.not_run
     )
 
 
 def configuration(log: CellLog) -> Iterator[str]:
     """Yield reverts, late nodes, lost changes and operators told wrongly."""
-    yield from log.operators
+    yield from log.operator_errors
     newest: dict[tuple[str, str], int] = {}
-    reached: dict[str, list[Sighting]] = defaultdict(list)
-    for seen in log.sightings:
-        pair = (seen.shown_by, seen.node_id)
-        fresh = {seen.node_id, seen.shown_by} & log.restarted
-        if seen.revision < newest.get(pair, 0) and not fresh:
-            yield f"{seen.node_id} went back to revision {seen.revision}"
-        newest[pair] = max(seen.revision, newest.get(pair, 0))
-        reached[seen.node_id].append(seen)
+    samples_by_node: dict[str, list[RevisionSample]] = defaultdict(list)
+    for sample in log.revision_samples:
+        pair = (sample.control, sample.node_id)
+        restarted = {sample.node_id, sample.control} & log.restarted_nodes
+        if sample.revision < newest.get(pair, 0) and not restarted:
+            yield f"{sample.node_id} went back to revision {sample.revision}"
+        newest[pair] = max(sample.revision, newest.get(pair, 0))
+        samples_by_node[sample.node_id].append(sample)
     for change in log.accepted:
-        for node_id, sightings in reached.items():
-            begin = max(change.at, log.faulted.get(node_id, 0.0))
-            times = [s.at for s in sightings if s.revision >= change.revision]
-            late = min(times, default=float("inf")) - begin
-            if late > IN_FORCE_S:
-                yield f"revision {change.revision} at {node_id} after {late:.0f} s"
+        for node_id, samples in samples_by_node.items():
+            since = max(change.accepted_at, log.fault_ended_at.get(node_id, 0.0))
+            times = [s.observed_at for s in samples if s.revision >= change.revision]
+            delay_s = min(times, default=float("inf")) - since
+            if delay_s > PROPAGATION_LIMIT_S:
+                yield f"revision {change.revision} at {node_id} after {delay_s:.0f} s"
 
 
 CHECKS = {
@@ -230,29 +236,31 @@
 }
 
 
-class Judgement(NamedTuple):
+class PromiseResult(NamedTuple):
     """What became of one promise in one cell."""
 
     state: str
     reason: str
 
 
-def judge(log: CellLog) -> dict[str, Judgement]:
+def check_promises(log: CellLog) -> dict[str, PromiseResult]:
     """Check every promise."""
-    verdicts = {}
+    results = {}
     for name, check in CHECKS.items():
-        found = check(log)
-        if found is None:
-            reason = "no target left" if name == "leaving" else why_not_graceful(log)
-            verdicts[name] = Judgement("not_applicable", reason)
+        violations = check(log)
+        if violations is None:
+            reason = (
+                "no target left" if name == "leaving" else graceful_skip_reason(log)
+            )
+            results[name] = PromiseResult("not_applicable", reason)
             continue
-        faults = list(found)
-        state = "broken" if faults else "held"
-        verdicts[name] = Judgement(state, "; ".join(faults[:3]))
-    return verdicts
+        violation_texts = list(violations)
+        state = "broken" if violation_texts else "held"
+        results[name] = PromiseResult(state, "; ".join(violation_texts[:3]))
+    return results
 
 
-def why_not_graceful(log: CellLog) -> str:
+def graceful_skip_reason(log: CellLog) -> str:
     """Say why no graceful stop is judged."""
     if log.stops:
         return "another fault cuts requests in the same cell"
--- a/tests/matrix/rig.py
+++ b/tests/matrix/relayed_fleet.py
@@ -10,7 +10,7 @@
 
 from tests.fakes.caller import Workload
 from tests.fleet import ROOT, TOKENS, Fleet, Node
-from tests.matrix.promises import Accepted, Sighting
+from tests.matrix.promises import AcceptedChange, RevisionSample
 from tests.relay import Relay
 
 OWNER = "aste-riunite-trinacria"
@@ -22,23 +22,23 @@
 # Small, so that a few dozen changes fold the log.
 SNAPSHOT_BYTES = 16_384
 POLL_S = 0.05
-TIMING = {"heartbeat_ms": 200, "silence_ms": 800}
+LINK_TIMING = {"heartbeat_ms": 200, "silence_ms": 800}
 CONTROLS = [f"control-{i}" for i in (1, 2, 3)]
 ENTRIES = ["entry-1", "entry-2"]
 ENGINES = [f"engine-{i}" for i in (1, 2, 3)]
-PLAIN = ["plain-1", "plain-2"]
+PLAIN_TARGETS = ["plain-1", "plain-2"]
 # engine-2 takes any fencing number, as some engines of the brief do.
 IGNORES_FENCING = "engine-2"
 
 STREAM = Workload("reports", "/v1/completions", True, True, 40, "dealer-1")
 LONG_STREAM = Workload("reports", "/v1/completions", True, True, 900, "dealer-1")
 UNARY = Workload("reports", "/v1/completions", True, False, 6, "dealer-2")
-KEYED = Workload("bids", "/services/bids/bid", False, False, 1, "dealer-3")
-PLAIN_CALL = Workload("titles", "/services/titles/check", True, False, 1, "dealer-4")
-STEADY = [STREAM, KEYED, UNARY, PLAIN_CALL]
+KEYED_REQUEST = Workload("bids", "/services/bids/bid", False, False, 1, "dealer-3")
+PLAIN_REQUEST = Workload("titles", "/services/titles/check", True, False, 1, "dealer-4")
+STEADY_WORKLOADS = [STREAM, KEYED_REQUEST, UNARY, PLAIN_REQUEST]
 
 
-class Rig(Fleet):
+class RelayedFleet(Fleet):
     """A fleet of ten daemons; `relays` is keyed by who connects to whom.
 
     Parameters
@@ -55,35 +55,37 @@
         super().__init__(folder)
         self.build = build
         self.relays: dict[tuple[str, str], Relay] = {}
-        self.wires: dict[str, str] = {}
+        self.wire_addresses: dict[str, str] = {}
         self.entries: dict[str, dict] = {}
         self.versions: set[str] = {""}
-        self.seed = 0
-        self.sightings: list[Sighting] = []
-        self.rows: dict[str, dict] = {}
-        self.own_revision: dict[str, int] = {}
+        self.weights_seed = 0
+        self.revision_samples: list[RevisionSample] = []
+        self.status_rows: dict[str, dict] = {}
+        self.control_revisions: dict[str, int] = {}
         self.leader = CONTROLS[0]
         self.session: aiohttp.ClientSession | None = None
-        self.watching: asyncio.Task | None = None
+        self.poll_task: asyncio.Task | None = None
 
     # -- starting --------------------------------------------------------
 
     def start_node(self, role: str, settings: dict) -> Node:
         """Put a relay on each link, then start the daemon."""
         name = settings["node_id"]
-        self.wires[name] = settings.get("wire_listen", "")
+        self.wire_addresses[name] = settings.get("wire_listen", "")
         if "control" in settings:
             settings["control"] = [
-                self.relay(name, control, wire)
+                self.add_relay(name, control, wire)
                 for control, wire in zip(CONTROLS, settings["control"], strict=True)
             ]
         for peer in settings.get("peers", ()):
-            peer["address"] = self.relay(name, peer["node_id"], peer["address"])
+            peer["address"] = self.add_relay(name, peer["node_id"], peer["address"])
         if role == "sidecar":
-            settings["wire_advertise"] = self.relay("any", name, self.wires[name])
+            settings["wire_advertise"] = self.add_relay(
+                "any", name, self.wire_addresses[name]
+            )
             for key, far in (("target_url", "target"), ("origin_url", "origin")):
                 near = settings[key].removeprefix("http://")
-                settings[key] = f"http://{self.relay(name, far, near)}"
+                settings[key] = f"http://{self.add_relay(name, far, near)}"
         node = super().start_node(role, settings)
         return node
 
@@ -93,12 +95,12 @@
             command = ["-m", "tests.matrix.broken", self.build, *command[2:]]
         return super().start_process(name, command)
 
-    def relay(self, near: str, far: str, destination: str) -> str:
+    def add_relay(self, near: str, far: str, destination: str) -> str:
         """Return the address of a relay on one link."""
         relay = self.relays[near, far] = Relay(destination)
         return relay.address
 
-    def of(self, node_id: str) -> list[Relay]:
+    def relays_of(self, node_id: str) -> list[Relay]:
         """Return the relays of every link of a node."""
         return [relay for ends, relay in self.relays.items() if node_id in ends]
 
@@ -109,24 +111,24 @@
             timeout=aiohttp.ClientTimeout(total=5),
         )
         self.start_origin(ORIGIN_BYTES_PER_S)
-        self.start_control(DOMAINS, snapshot_bytes=SNAPSHOT_BYTES, **TIMING)
+        self.start_control(DOMAINS, snapshot_bytes=SNAPSHOT_BYTES, **LINK_TIMING)
         slow = ("--token-s", "0.005", "--load-s", "0.4")
         for name, domain in zip(ENGINES, DOMAINS, strict=True):
             # The users say which engines check who orders them: so do settings.
             fences = name != IGNORES_FENCING
             options = slow if fences else (*slow, "--ignores-fencing")
             self.start_target(
-                name, domain, "models", "engine", options, fences=fences, **TIMING
+                name, domain, "models", "engine", options, fences=fences, **LINK_TIMING
             )
-        for name, domain in zip(PLAIN, DOMAINS, strict=False):
+        for name, domain in zip(PLAIN_TARGETS, DOMAINS, strict=False):
             work = ("--work-s", "0.1")
-            self.start_target(name, domain, "auction", "plain", work, **TIMING)
+            self.start_target(name, domain, "auction", "plain", work, **LINK_TIMING)
         for name, domain in zip(ENTRIES, DOMAINS, strict=False):
-            self.start_entry(name, domain, **TIMING)
+            self.start_entry(name, domain, **LINK_TIMING)
         for relay in self.relays.values():
             await relay.start()
         await self.wait_ready(CONTROLS)
-        self.watching = asyncio.create_task(self.watch())
+        self.poll_task = asyncio.create_task(self.poll_controls())
         for name, service, more in (
             ("reports", "models", {"version": self.new_version()}),
             ("bids", "auction", {"idempotent": False}),
@@ -134,13 +136,13 @@
         ):
             entry = {"name": name, "owner": OWNER, "class": name, "service": service}
             self.entries[name] = entry | more
-            await self.accept(name)
+            await self.submit_change(name)
         await self.wait_ready()
 
     async def close(self) -> None:
         """End the fleet, its relays and its session."""
-        if self.watching is not None:
-            self.watching.cancel()
+        if self.poll_task is not None:
+            self.poll_task.cancel()
         for relay in self.relays.values():
             await relay.stop()
         self.stop()
@@ -148,14 +150,16 @@
 
     def new_version(self) -> str:
         """Publish new weights."""
-        self.seed += 1
-        version = self.publish(self.seed, MODEL_BYTES, CHUNK_BYTES)
+        self.weights_seed += 1
+        version = self.publish(self.weights_seed, MODEL_BYTES, CHUNK_BYTES)
         self.versions.add(version)
         return version
 
     # -- operators -------------------------------------------------------
 
-    async def ask(self, control: str, method: str, path: str, body=None) -> dict | None:
+    async def call(
+        self, control: str, method: str, path: str, body=None
+    ) -> dict | None:
         """Ask one control instance; None when it does not answer well."""
         url = self.nodes[control].http + path
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
@@ -164,63 +168,65 @@
                 return None if response.status == 503 else answer
         return None
 
-    async def ask_any(self, method: str, path: str, body=None) -> dict:
+    async def call_any(self, method: str, path: str, body=None) -> dict:
         """Ask each control instance in turn until one answers."""
         for _ in range(40):
             for control in CONTROLS:
-                answer = await self.ask(control, method, path, body)
+                answer = await self.call(control, method, path, body)
                 if answer is not None:
                     return answer
             await asyncio.sleep(0.2)
         raise RuntimeError("no control instance answered for eight seconds")
 
-    async def change(self, name: str, change_id: str = "", **values) -> dict:
+    async def build_change(self, name: str, change_id: str = "", **values) -> dict:
         """Build a change of one entry on what is accepted now."""
-        image = await self.ask_any("GET", "/v1/catalogue")
+        image = await self.call_any("GET", "/v1/catalogue")
         base = image["entries"].get(name, {"revision": 0})["revision"]
         entry = self.entries[name] | values
         put = {"entry": entry, "base_revision": base}
         change_id = change_id or uuid.uuid4().hex
         return {"change_id": change_id, "owner": OWNER, "puts": [put]}
 
-    async def accept(self, name: str, **values) -> Accepted:
+    async def submit_change(self, name: str, **values) -> AcceptedChange:
         """Have a change of one entry accepted, resending until answered."""
-        change = await self.change(name, **values)
-        result = await self.ask_any("POST", "/v1/catalogue/changes", change)
+        change = await self.build_change(name, **values)
+        result = await self.call_any("POST", "/v1/catalogue/changes", change)
         if result.get("code") != 0:
             raise RuntimeError(f"change refused: {result}")
         self.entries[name] |= values
-        return Accepted(change["change_id"], result["revision"], time.time())
+        return AcceptedChange(change["change_id"], result["revision"], time.time())
 
-    async def watch(self) -> None:
+    async def poll_controls(self) -> None:
         """Note every node's revision as each control instance shows it."""
         while True:
-            await asyncio.gather(*(self.watch_one(control) for control in CONTROLS))
+            await asyncio.gather(*(self.poll_control(control) for control in CONTROLS))
             await asyncio.sleep(POLL_S)
 
-    async def watch_one(self, control: str) -> None:
+    async def poll_control(self, control: str) -> None:
         """Note what one control instance shows."""
-        status = await self.ask(control, "GET", "/v1/status")
+        status = await self.call(control, "GET", "/v1/status")
         if status is None:
             return
         now = time.time()
         own = self.nodes[control].settings["failure_domain"]
-        self.see(now, control, control, own, status["revision"])
-        self.own_revision[control] = status["revision"]
+        self.record_revision(now, control, control, own, status["revision"])
+        self.control_revisions[control] = status["revision"]
         self.leader = status["leader"] or self.leader
         for row in status["nodes"]:
-            self.rows[row["node_id"]] = row
+            self.status_rows[row["node_id"]] = row
             domain, revision = row["failure_domain"], row["revision"]
-            self.see(now, control, row["node_id"], domain, revision)
+            self.record_revision(now, control, row["node_id"], domain, revision)
 
-    def see(self, now, control, node_id, domain, revision) -> None:
+    def record_revision(self, now, control, node_id, domain, revision) -> None:
         """Note a sighting when the revision differs from the last one."""
-        self.sightings.append(Sighting(now, control, node_id, domain, revision))
+        self.revision_samples.append(
+            RevisionSample(now, control, node_id, domain, revision)
+        )
 
-    async def listens(self, node_id: str, timeout_s: float = 10.0) -> bool:
+    async def wait_live(self, node_id: str, timeout_s: float = 10.0) -> bool:
         """Wait until a daemon that was started answers at all."""
-        until = time.monotonic() + timeout_s
-        while time.monotonic() < until:
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline:
             with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
                 url = f"{self.nodes[node_id].http}/health/live"
                 async with self.session.get(url):
@@ -230,12 +236,12 @@
 
     # -- state -----------------------------------------------------------
 
-    def settled(self, revision: int) -> bool:
+    def is_settled(self, revision: int) -> bool:
         """Tell whether every node serves what was accepted."""
         version = self.entries["reports"]["version"]
-        nodes = [*ENTRIES, *ENGINES, *PLAIN]
-        rows = [self.rows.get(name) for name in nodes]
-        held = [self.own_revision.get(name, 0) for name in CONTROLS]
+        nodes = [*ENTRIES, *ENGINES, *PLAIN_TARGETS]
+        rows = [self.status_rows.get(name) for name in nodes]
+        held = [self.control_revisions.get(name, 0) for name in CONTROLS]
         return min(held) >= revision and all(
             row is not None
             and row["revision"] >= revision
@@ -244,20 +250,22 @@
             for row in rows
         )
 
-    async def settle(self, revision: int, timeout_s: float = 25.0) -> bool:
+    async def wait_settled(self, revision: int, timeout_s: float = 25.0) -> bool:
         """Wait until every node serves again; tell whether it came so far."""
-        until = time.monotonic() + timeout_s
-        while time.monotonic() < until:
-            if self.settled(revision):
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline:
+            if self.is_settled(revision):
                 with contextlib.suppress(RuntimeError, TimeoutError):
-                    await asyncio.wait_for(self.wait_ready(), until - time.monotonic())
+                    await asyncio.wait_for(
+                        self.wait_ready(), deadline - time.monotonic()
+                    )
                     return True
             await asyncio.sleep(POLL_S)
         return False
 
-    def log_of(self, node_id: str) -> str:
+    def log_tail(self, node_id: str) -> str:
         """Return the end of a daemon's log."""
         return (self.folder / "logs" / f"{node_id}.log").read_text()[-1500:]
 
 
-FOLDER = ROOT / ".matrix"
+DEFAULT_FOLDER = ROOT / ".matrix"
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -7,33 +7,40 @@
 
 from tests.fakes.caller import Outcome
 from tests.matrix.broken import BUILDS
-from tests.matrix.callers import Send
+from tests.matrix.callers import SendRecord
 from tests.matrix.cell import MATRIX, Cell, all_cells, run_cell
 from tests.matrix.faults import FAULTS
-from tests.matrix.promises import PROMISES, Accepted, CellLog, Sighting, Stop, judge
-from tests.matrix.rig import Rig
+from tests.matrix.promises import (
+    PROMISES,
+    AcceptedChange,
+    CellLog,
+    GracefulStop,
+    RevisionSample,
+    check_promises,
+)
+from tests.matrix.relayed_fleet import RelayedFleet
 from tests.matrix.steps import STEPS
 from tests.relay import Relay
 
 V1, V2 = "1" * 64, "2" * 64
-SETTLED = [Cell(("cut",), "copy"), Cell(("sigterm",), "stream")]
-SETTLED += [Cell(("operators_race",), "accept"), Cell(("freeze",), "claim")]
+SMOKE_CELLS = [Cell(("cut",), "copy"), Cell(("sigterm",), "stream")]
+SMOKE_CELLS += [Cell(("operators_race",), "accept"), Cell(("freeze",), "claim")]
 
 
-def send(name="n", status=200, not_run=False, **values):
+def send_record(name="n", status=200, not_run=False, **values):
     outcome = Outcome(name, "a", "", status, 0, not_run, True, True, "", 0.0)
-    return Send(1.0, 2.0, outcome._replace(**values))
+    return SendRecord(1.0, 2.0, outcome._replace(**values))
 
 
-def ran(name="n", engine="engine-1", version=V1, end=V1, key="", at=1.5):
+def run_record(name="n", engine="engine-1", version=V1, end=V1, key="", at=1.5):
     names = ("prompt", "engine", "version", "version_at_end", "key", "started_at")
     values = (name, engine, version, end, key, at)
     return {**dict(zip(names, values, strict=True)), "account": "a"}
 
 
-def log(sends=None, runs=None, **values):
-    sends = [send()] if sends is None else sends
-    runs = [ran()] if runs is None else runs
+def cell_log(sends=None, runs=None, **values):
+    sends = [send_record()] if sends is None else sends
+    runs = [run_record()] if runs is None else runs
     clean = CellLog(
         len({s.outcome.name for s in sends}),
         sends,
@@ -41,8 +48,8 @@
         {"", V1, V2},
         [],
         False,
-        [Accepted("c", 2, 10.0)],
-        [Sighting(11.0, "control-1", "entry-1", "d", 2)],
+        [AcceptedChange("c", 2, 10.0)],
+        [RevisionSample(11.0, "control-1", "entry-1", "d", 2)],
         {},
         set(),
         [],
@@ -50,37 +57,47 @@
     return clean._replace(**values)
 
 
-STOP = Stop("engine-1", "sidecar", 1.4, 9.0)
-BROKEN = [
-    ("whole_weights", log(runs=[ran(end=V2)])),
-    ("whole_weights", log(runs=[ran(version="3" * 64, end="3" * 64)])),
-    ("own_whole_answer", log([send(own_answer=False)])),
-    ("own_whole_answer", log([send(complete=False)])),
-    ("own_whole_answer", log([send(status=0)])),
-    ("own_whole_answer", log(runs=[])),
-    ("own_whole_answer", log(started=2)),
-    ("not_run", log([send(status=503, not_run=True)])),
-    ("at_most_once", log(runs=[ran(key="k"), ran(key="k", engine="engine-2")])),
-    ("leaving", log(runs=[ran(at=5.0)], stops=[STOP])),
-    ("graceful", log([send(status=0)], stops=[STOP])),
-    ("configuration", log(operators=["two racing changes were accepted"])),
-    ("configuration", log(sightings=[Sighting(30.0, "c", "entry-1", "d", 2)])),
+STOP = GracefulStop("engine-1", "sidecar", 1.4, 9.0)
+VIOLATIONS = [
+    ("whole_weights", cell_log(runs=[run_record(end=V2)])),
+    ("whole_weights", cell_log(runs=[run_record(version="3" * 64, end="3" * 64)])),
+    ("own_whole_answer", cell_log([send_record(own_answer=False)])),
+    ("own_whole_answer", cell_log([send_record(complete=False)])),
+    ("own_whole_answer", cell_log([send_record(status=0)])),
+    ("own_whole_answer", cell_log(runs=[])),
+    ("own_whole_answer", cell_log(request_count=2)),
+    ("not_run", cell_log([send_record(status=503, not_run=True)])),
+    (
+        "at_most_once",
+        cell_log(runs=[run_record(key="k"), run_record(key="k", engine="engine-2")]),
+    ),
+    ("leaving", cell_log(runs=[run_record(at=5.0)], stops=[STOP])),
+    ("graceful", cell_log([send_record(status=0)], stops=[STOP])),
+    ("configuration", cell_log(operator_errors=["two racing changes were accepted"])),
+    (
+        "configuration",
+        cell_log(revision_samples=[RevisionSample(30.0, "c", "entry-1", "d", 2)]),
+    ),
     (
         "configuration",
-        log(sightings=[Sighting(11.0, "c", "n", "d", r) for r in (2, 1)]),
+        cell_log(
+            revision_samples=[RevisionSample(11.0, "c", "n", "d", r) for r in (2, 1)]
+        ),
     ),
 ]
 
 
 class TestPromises:
     def test_clean_log_holds_every_promise_that_applies(self):
-        states = {name: found.state for name, found in judge(log()).items()}
+        states = {
+            name: found.state for name, found in check_promises(cell_log()).items()
+        }
         applies = {name for name, state in states.items() if state == "held"}
         assert applies == set(PROMISES) - {"leaving", "graceful"}
 
-    @pytest.mark.parametrize(("promise", "broken"), BROKEN)
+    @pytest.mark.parametrize(("promise", "broken"), VIOLATIONS)
     def test_check_fails_on_what_breaks_its_promise(self, promise, broken):
-        assert judge(broken)[promise].state == "broken"
+        assert check_promises(broken)[promise].state == "broken"
 
 
 class TestRelay:
@@ -124,17 +141,17 @@
         assert {build["promise"] for build in BUILDS.values()} == set(PROMISES)
         assert len({cell.name for cell in all_cells()}) == len(list(all_cells()))
 
-    def test_settled_cells_hold(self, tmp_path):
+    def test_smoke_cells_hold(self, tmp_path):
         async def run():
-            rig = Rig(tmp_path / "fleet")
+            fleet = RelayedFleet(tmp_path / "fleet")
             try:
-                await rig.start()
+                await fleet.start()
                 return [
-                    await run_cell(rig, cell, number, 1)
-                    for number, cell in enumerate(SETTLED)
+                    await run_cell(fleet, cell, number, 1)
+                    for number, cell in enumerate(SMOKE_CELLS)
                 ]
             finally:
-                await rig.close()
+                await fleet.close()
 
         results = asyncio.run(run())
         found = {r.cell: r.promises for r in results}
