--- a/tests/matrix/__init__.py
+++ b/tests/matrix/__init__.py
@@ -1,1 +1,1 @@
-"""Fault matrix: every fault at every step, judged by the fakes' own records."""
+"""Fault matrix: inject every fault at every step and check the fakes' records."""
--- a/tests/matrix/__main__.py
+++ b/tests/matrix/__main__.py
@@ -1,7 +1,8 @@
-"""``make matrix``: runs cells on several fleets and writes the table.
+"""``make matrix``: run cells on several fleets and write the page.
 
-``--only fault=kill,step=copy`` chooses cells, ``--fleets`` how many fleets run
-side by side, ``--seconds`` when to stop; cells not reached are said as not run.
+``--only fault=kill,step=copy`` selects cells, ``--fleets`` sets the number of
+fleets that run in parallel, ``--seconds`` the time limit; cells that were not
+reached are reported as not run.
 """
 
 import argparse
@@ -33,7 +34,7 @@
 
 @dataclasses.dataclass
 class Shard:
-    """The cells of one fleet, one after another."""
+    """Cells that run one after another on one fleet."""
 
     number: int
     cells: list[Cell]
@@ -43,7 +44,7 @@
     folder: Path
 
     async def run(self) -> list[CellResult]:
-        """Run them; a fleet that did not recover is replaced."""
+        """Run the cells; replace a fleet that did not recover."""
         results: list[CellResult] = []
         fleet: RelayedFleet | None = None
         for number, cell in enumerate(self.cells):
@@ -71,7 +72,7 @@
         return results
 
     async def start_fleet(self) -> RelayedFleet:
-        """Start a fleet; again when another process took one of its ports."""
+        """Start a fleet; retry when another process took one of its ports."""
         for last in (False, False, True):
             fleet = RelayedFleet(self.folder / f"fleet-{self.number}", self.build)
             try:
@@ -85,7 +86,7 @@
 
 
 def print_result(result: CellResult) -> None:
-    """Print one cell, so that a long run shows what it found."""
+    """Print the result of one cell, to show the progress of a long run."""
     broken = [
         f"{name}: {found.reason}"
         for name, found in result.promises.items()
@@ -103,7 +104,7 @@
 
 
 def select_cells(only: str) -> list[Cell]:
-    """Return the cells that ``--only`` names; ``fault=a|b,step=c``."""
+    """Return the cells that ``--only`` selects, such as ``fault=a|b,step=c``."""
     filters = dict(part.split("=") for part in only.split(",") if part)
     faults = set(filters.get("fault", "").split("|")) - {""}
     steps = set(filters.get("step", "").split("|")) - {""}
@@ -116,7 +117,7 @@
 
 
 def run_shards(args: argparse.Namespace, cells: list[Cell]) -> list[CellResult]:
-    """Run the cells on `fleets` processes of this program."""
+    """Run the cells in ``args.fleets`` subprocesses, with one fleet each."""
     processes = []
     args.folder.mkdir(exist_ok=True)
     for number in range(args.fleets):
@@ -146,7 +147,7 @@
 
 
 def run_shard(args: argparse.Namespace) -> None:
-    """Run one shard's cells and leave the results in a file."""
+    """Run the cells of one shard and write the results to a file."""
     names = json.loads((args.folder / f"cells-{args.shard}.json").read_text())
     cells_by_name = {cell.name: cell for cell in all_cells()}
     deadline = time.monotonic() + args.seconds
@@ -165,18 +166,26 @@
 
 
 def main() -> int:
-    """Run, print and write the page."""
+    """Run the selected cells, print the totals and write the page."""
     parser = argparse.ArgumentParser(prog="make matrix")
     parser.add_argument("--only", default="")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--fleets", type=int, default=2)
     parser.add_argument("--seconds", type=float, default=3600)
-    parser.add_argument("--build", default="", help="broken build, to prove a check")
+    parser.add_argument(
+        "--build", default="", help="broken build, to show that a check fails"
+    )
     parser.add_argument("--folder", type=Path, default=DEFAULT_FOLDER)
     parser.add_argument("--shard", type=int, default=-1)
-    parser.add_argument("--keep-page", action="store_true", help="print only")
-    parser.add_argument("--again", action="store_true", help="only what is not held")
-    parser.add_argument("--merge", action="store_true", help="add to earlier runs")
+    parser.add_argument(
+        "--keep-page", action="store_true", help="do not write the page"
+    )
+    parser.add_argument(
+        "--again", action="store_true", help="run only cells that have not held yet"
+    )
+    parser.add_argument(
+        "--merge", action="store_true", help="merge with the results of earlier runs"
+    )
     args = parser.parse_args()
     if args.shard >= 0:
         run_shard(args)
@@ -206,7 +215,7 @@
 
 
 def count_states(results: list[CellResult]) -> dict:
-    """Count cells, and promises by state."""
+    """Return the number of cells, and of promises by state."""
     states = [p.state for r in results for p in r.promises.values()]
     figures: dict = {"cells": len({result.cell for result in results})}
     figures |= {state: states.count(state) for state in STATES}
@@ -214,7 +223,7 @@
 
 
 def held_cells(path: Path) -> set[str]:
-    """Return the cells of earlier runs that held and served again."""
+    """Return the cells of earlier runs that recovered and held all promises."""
     results = msgspec.json.decode(path.read_bytes(), type=list[CellResult])
     done = {"held", "not_applicable"}
     return {
@@ -225,7 +234,10 @@
 
 
 def merge_results(results: list[CellResult], path: Path) -> list[CellResult]:
-    """Replace results of earlier slices by these, cell by cell and seed by seed."""
+    """Merge `results` into those of earlier runs, by cell and seed.
+
+    A cell that was not run this time keeps its earlier result.
+    """
     kept: dict[tuple[str, int], CellResult] = {}
     if path.exists():
         for result in msgspec.json.decode(path.read_bytes(), type=list[CellResult]):
--- a/tests/matrix/broken.py
+++ b/tests/matrix/broken.py
@@ -1,7 +1,7 @@
-"""Runs a daemon with one line of one module replaced, to prove a check.
+"""Run a daemon with one line of one module replaced, to show that a check fails.
 
-``python -m tests.matrix.broken NAME ROLE SETTINGS``; the names, lines and the
-promise that each breaks stand in ``broken.json``.
+``python -m tests.matrix.broken NAME ROLE SETTINGS``; ``broken.json`` holds the
+names, the lines and the promise that each build breaks.
 """
 
 import importlib
@@ -14,13 +14,15 @@
 
 
 def replace_line(module: str, old: str, new: str) -> None:
-    """Load `module` with `old` replaced by `new`, which must stand there once."""
+    """Import `module` with `old`, which must occur exactly once, replaced by `new`."""
     parent, _, name = module.rpartition(".")
     package = importlib.import_module(parent)
     spec = importlib.util.find_spec(module)
     source = Path(spec.origin).read_text()
     if source.count(old) != 1:
-        raise SystemExit(f"{module}: {old!r} stands there {source.count(old)} times")
+        raise SystemExit(
+            f"{module}: expected {old!r} once, found it {source.count(old)} times"
+        )
     loaded = importlib.util.module_from_spec(spec)
     sys.modules[module] = loaded
     exec(compile(source.replace(old, new), spec.origin, "exec"), loaded.__dict__)
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a cell: every single send is logged, not only the last one."""
+"""Callers of a cell; they record every send, not only the last of a request."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 
 class SendRecord(NamedTuple):
-    """One send of one request; `started` and `ended` in wall clock seconds."""
+    """One send of one request; `started` and `ended` are wall-clock seconds."""
 
     started: float
     ended: float
@@ -22,7 +22,7 @@
 
 
 class CellCallers(Callers):
-    """Callers behind a balancer that sends only to entries that are ready.
+    """Callers behind a load balancer that sends only to ready entries.
 
     Parameters
     ----------
@@ -31,11 +31,11 @@
     workloads : list of Workload
         Sent in turn.
     rate : float
-        Requests a second.
+        Requests per second.
     seed : int
-        Of the choice of entries.
+        Seed of the random choice of entries.
     prefix : str
-        Begins every request's name, so that cells never share one.
+        Prefix of every request's name, which keeps names unique across cells.
     """
 
     def __init__(self, entries, workloads, rate, seed, prefix: str):
@@ -46,7 +46,7 @@
         self.request_names = (f"{prefix}-{i}" for i in itertools.count(1))
 
     async def run(self) -> None:
-        """Send at the rate until `stopping`; then wait for the last answers."""
+        """Send at the rate until `stopping`; then wait for the last responses."""
         async with aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=30),
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
@@ -62,7 +62,7 @@
             health.cancel()
 
     def burst(self, workloads: list[Workload]) -> None:
-        """Send workloads at once, besides the steady ones."""
+        """Send workloads immediately, in addition to the steady rate."""
         for workload in workloads:
             self.started += 1
             task = asyncio.create_task(self.send(self.session, workload))
@@ -70,13 +70,13 @@
             task.add_done_callback(self.tasks.discard)
 
     async def hang_up_and_resend(self, workload: Workload, count: int = 6) -> None:
-        """Hang up on keyed requests and send the same again elsewhere."""
+        """Close the connections of keyed requests early, then resend the requests."""
         await asyncio.gather(
             *(self.hang_up_and_resend_one(workload) for _ in range(count))
         )
 
     async def hang_up_and_resend_one(self, workload: Workload) -> None:
-        """Hang up before the answer, then resend until it is answered."""
+        """Close the connection before the response, then resend until one succeeds."""
         self.started += 1
         name = next(self.request_names)
         headers = {
@@ -94,14 +94,14 @@
             await asyncio.sleep(0.3)
 
     async def watch_health(self) -> None:
-        """Keep the list of ready entries, as the platform's balancer does."""
+        """Poll which entries are ready, as the platform's load balancer does."""
         while True:
             ready = [url for url in self.all_entries if await self.is_ready(url)]
             self.entries = ready or self.all_entries
             await asyncio.sleep(HEALTH_POLL_S)
 
     async def is_ready(self, url: str) -> bool:
-        """Ask one entry."""
+        """Return whether an entry answers its readiness check with 200."""
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
             timeout = aiohttp.ClientTimeout(total=0.5)
             async with self.session.get(f"{url}/health/ready", timeout=timeout) as got:
@@ -109,12 +109,12 @@
         return False
 
     async def send_once(self, session, workload, name, headers) -> Outcome:
-        """Send once and log it."""
+        """Send once and record the outcome."""
         started = time.time()
         try:
             outcome = await super().send_once(session, workload, name, headers)
         except (ValueError, KeyError, IndexError):
-            # Not even the shape of an answer to this request.
+            # The response can't be parsed, so it isn't one to this request.
             account = workload.account
             outcome = Outcome(name, account, "", 200, 0, False, False, True, "", 0.0)
         key = headers.get("Idempotency-Key", "")
--- a/tests/matrix/cell.py
+++ b/tests/matrix/cell.py
@@ -1,4 +1,4 @@
-"""Cells of the matrix: what to run, and one run."""
+"""Cells of the matrix: list them, and run one."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 
 
 class Cell(NamedTuple):
-    """Faults at a step: one, or two together, or one twice."""
+    """Faults at a step: one fault, two at the same time, or one fault twice."""
 
     faults: tuple[str, ...]
     step: str
@@ -39,7 +39,7 @@
 
 
 class CellResult(NamedTuple):
-    """What became of a cell."""
+    """Result of one cell: counts of requests, and the promises."""
 
     cell: str
     seed: int
@@ -63,7 +63,7 @@
 
 
 def not_applicable_reason(cell: Cell) -> str:
-    """Return why a cell makes no sense; empty when it does."""
+    """Return why a cell is not applicable; empty when it is applicable."""
     for rule in MATRIX["not_applicable"]:
         if set(rule["faults"]) & set(cell.faults) and cell.step in rule["steps"]:
             return rule["reason"]
@@ -71,12 +71,12 @@
 
 
 def same_result_for_all(state: str, reason: str) -> dict[str, PromiseResult]:
-    """Give every promise the same judgement."""
+    """Return the same result for every promise."""
     return dict.fromkeys(PROMISES, PromiseResult(state, reason))
 
 
 def skipped_result(cell: Cell, seed: int, state: str, reason: str) -> CellResult:
-    """Make the result of a cell that was not run."""
+    """Return the result of a cell that was not run."""
     return CellResult(
         cell.name, seed, "", True, 0, 0, 0, 0, same_result_for_all(state, reason)
     )
@@ -85,7 +85,7 @@
 async def run_cell(
     fleet: RelayedFleet, cell: Cell, number: int, seed: int
 ) -> CellResult:
-    """Run one cell on a fleet that serves."""
+    """Run one cell on a fleet that is ready."""
     urls = [fleet.nodes[name].http for name in ENTRIES]
     callers = CellCallers(urls, STEADY_WORKLOADS, REQUESTS_PER_S, seed, f"c{number}")
     context = CellContext(fleet, callers)
@@ -125,7 +125,7 @@
 
 
 async def inject(context: CellContext, cell: Cell, victim: str, rng) -> None:
-    """Inject a cell's faults: two together, or the same one again."""
+    """Inject a cell's faults at the same time, a repeated fault twice in turn."""
     allowed_victims = MATRIX["victims"]
     pending_change = getattr(context, "pending_change", None)
     if len(cell.faults) == 2 and cell.faults[0] == cell.faults[1]:
@@ -146,13 +146,13 @@
 
 
 def pick_second_victim(context: CellContext, victim: str, rng) -> str:
-    """Choose a second victim: not the same, and no second control instance."""
+    """Return a random second victim: not the first, and no control instance."""
     names = [*ENTRIES, *PLAIN_TARGETS, "engine-1", "engine-3"]
     return rng.choice([name for name in names if name != victim])
 
 
 def summarize(cell, seed, victim, recovered, callers, promises) -> CellResult:
-    """Sum a cell up."""
+    """Return the result of a cell that was run."""
     outcomes = callers.outcomes
     return CellResult(
         cell.name,
--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -1,4 +1,4 @@
-"""What can be done to a fleet; each fault injects, waits, and heals."""
+"""Faults to inject into a fleet; each one injects, waits and repairs."""
 
 import asyncio
 import shutil
@@ -24,13 +24,13 @@
 THROTTLED_BYTES_PER_S = 40_000
 CHANGES_WHILE_DOWN = 150
 MIN_DOWNTIME_S = 4.0
-# A stop waits for requests in progress, the longest for its deadline of 30 s: seen
-# at sigterm+silence@propagate, where a bid's target had gone silent.
+# A graceful stop waits for in-flight requests, at most for their deadline of 30 s.
+# In sigterm+silence@propagate, a bid waits that long for an unresponsive target.
 STOP_TIMEOUT_S = 45.0
 
 
 class CellContext:
-    """What a cell's faults note for the judgement."""
+    """The fleet of a cell, and what its faults record for the checks."""
 
     def __init__(self, fleet: RelayedFleet, callers):
         self.fleet = fleet
@@ -43,18 +43,18 @@
         self.may_cut_requests = False
 
     def record_fault_end(self, *node_ids: str) -> None:
-        """Note that a fault of these nodes has ended."""
+        """Record that a fault of these nodes has ended."""
         for node_id in node_ids:
             self.fault_ended_at[node_id] = time.time()
 
     @property
     def revision(self) -> int:
-        """Newest revision accepted in this cell."""
+        """Return the newest revision accepted in this cell."""
         return max((change.revision for change in self.accepted), default=0)
 
 
 async def kill(context: CellContext, victim: str, pause_s: float = 0.5) -> None:
-    """Kill a process, and start it again."""
+    """Kill a process and restart it."""
     process = context.fleet.nodes[victim].process
     context.may_cut_requests = True
     context.restarted_nodes.add(victim)
@@ -65,7 +65,7 @@
 
 
 async def wait_ended(context: CellContext, process: Process, victim: str) -> int | None:
-    """Wait for a process to end; one that does not is noted and killed."""
+    """Wait for a process to exit; on timeout, record an error and kill it."""
     try:
         return await asyncio.to_thread(process.popen.wait, STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
@@ -77,7 +77,7 @@
 
 
 async def kill_lose_disk(context: CellContext, victim: str) -> None:
-    """Kill a control instance and empty its folder; bring it back by join."""
+    """Kill a control instance and empty its data folder; then rejoin it."""
     fleet = context.fleet
     process = fleet.nodes[victim].process
     folder = Path(fleet.nodes[victim].settings["data_folder"])
@@ -97,7 +97,7 @@
 
 
 async def rejoin_control(context: CellContext, victim: str) -> None:
-    """Bring an instance with an empty folder back as the operators' page says."""
+    """Rejoin an instance with an empty data folder, as operators are told to do."""
     fleet = context.fleet
     path = fleet.folder / "settings" / f"{victim}.json"
     await asyncio.to_thread(fleet.run_cli, "control", "join", str(path))
@@ -105,7 +105,7 @@
 
 
 async def freeze(context: CellContext, victim: str) -> None:
-    """Stop a process for longer than a link's silence, and thaw it."""
+    """Suspend a process for longer than the link timeout, then resume it."""
     process = context.fleet.nodes[victim].process
     context.may_cut_requests = True
     process.signal(signal.SIGSTOP)
@@ -115,7 +115,7 @@
 
 
 async def fault_links(context: CellContext, victim: str, act) -> None:
-    """Do something to every link of a node for a while."""
+    """Apply a fault to every link of a node, then repair the links."""
     context.may_cut_requests = True
     relays = context.fleet.relays_of(victim)
     for relay in relays:
@@ -132,24 +132,24 @@
 
 
 async def cut_one_way(context: CellContext, victim: str) -> None:
-    """Hold what a node's links carry towards the side that was connected to."""
+    """Hold the forward direction of a node's links, from client to server."""
     await fault_links(context, victim, lambda relay: relay.hold(reverse=False))
 
 
 async def silence(context: CellContext, victim: str) -> None:
-    """Silence every open connection of a node for good; new ones work."""
+    """Silence the open connections of a node permanently; new ones work."""
     await fault_links(context, victim, lambda relay: relay.silence())
 
 
 async def throttle(context: CellContext, victim: str) -> None:
-    """Slow every link of a node."""
+    """Throttle every link of a node."""
     await fault_links(
         context, victim, lambda relay: relay.throttle(THROTTLED_BYTES_PER_S)
     )
 
 
 async def corrupt_chunk(context: CellContext, victim: str) -> None:
-    """Corrupt what a sidecar gets from the origin."""
+    """Corrupt the chunks that a sidecar downloads from the origin."""
     relay = context.fleet.relays[victim, "origin"]
     relay.corrupt()
     await asyncio.sleep(FAULT_DURATION_S)
@@ -157,7 +157,7 @@
 
 
 async def version_change(context: CellContext, victim: str) -> None:
-    """Have another version accepted."""
+    """Submit a change to a new version of the weights."""
     fleet = context.fleet
     context.accepted.append(
         await fleet.submit_change("reports", version=fleet.new_version())
@@ -165,7 +165,10 @@
 
 
 async def isolate_leader(context: CellContext, victim: str) -> None:
-    """Cut the leader from the other control instances, silently, both ways."""
+    """Partition the leader from the other control instances in both directions.
+
+    The connections stay open, so that neither side sees an error.
+    """
     fleet = context.fleet
     context.may_cut_requests = True
     leader = fleet.leader
@@ -190,7 +193,10 @@
 
 
 async def race_operators(context: CellContext, victim: str) -> None:
-    """Let two operators race on one base, and under one change id."""
+    """Submit two concurrent changes of one base revision, twice.
+
+    The first pair has a change id each, the second pair shares one.
+    """
     fleet = context.fleet
     change_id = uuid.uuid4().hex
     path = "/v1/catalogue/changes"
@@ -206,7 +212,7 @@
 async def check_race(
     context: CellContext, first: dict, second: dict, answers: list
 ) -> None:
-    """Check that of two racing changes exactly one was accepted."""
+    """Check that exactly one of two concurrent changes was accepted."""
     accepted = [i for i, answer in enumerate(answers) if answer.get("code") == 0]
     if len(accepted) != 1:
         context.operator_errors.append(
@@ -221,7 +227,7 @@
 
 
 async def resend(context: CellContext, victim: str) -> None:
-    """Resend a change and requests whose answers are lost."""
+    """Resend a change and keyed requests whose responses were lost."""
     fleet = context.fleet
     change = await fleet.build_change("bids", priority=3)
     path = "/v1/catalogue/changes"
@@ -239,7 +245,7 @@
 
 
 async def kill_two_peers(context: CellContext, victim: str) -> None:
-    """Kill a process, and another of its role once the first is repaired."""
+    """Kill a process, and another of its role once the first is ready again."""
     fleet = context.fleet
     peers = next(
         role for role in (CONTROLS, ENTRIES, ENGINES, PLAIN_TARGETS) if victim in role
@@ -250,7 +256,7 @@
 
 
 async def many_changes(context: CellContext, victim: str) -> None:
-    """Restart a process after hundreds of changes have gone by."""
+    """Restart a process after many changes were accepted while it was down."""
     fleet = context.fleet
     process = fleet.nodes[victim].process
     context.may_cut_requests = True
@@ -264,7 +270,7 @@
 
 
 async def stale_order(context: CellContext, victim: str) -> None:
-    """Replay an old order at an engine that ignores fencing."""
+    """Replay a stale load order at an engine that ignores fencing."""
     fleet = context.fleet
     name = IGNORES_FENCING
     url = f"http://127.0.0.1:{fleet.relays[name, 'target'].port}/control/load"
@@ -278,7 +284,7 @@
 
 
 async def sigterm(context: CellContext, victim: str) -> None:
-    """End a process gracefully, and start it again."""
+    """Stop a process gracefully and restart it."""
     process = context.fleet.nodes[victim].process
     role = next(r for r in ("control", "entry", "sidecar") if r in process.command)
     sigterm_at = time.time()
--- a/tests/matrix/promises.py
+++ b/tests/matrix/promises.py
@@ -1,4 +1,4 @@
-"""The seven promises, judged from what callers and targets recorded; pure."""
+"""Checks of the seven promises on the records of callers and targets; no I/O."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 LEAVING_GRACE_S = 3.0
 PROPAGATION_LIMIT_S = 12.0
-# Wall clock stamps of two processes of one machine.
+# Tolerance between wall-clock timestamps of two processes on one machine.
 TIMESTAMP_TOLERANCE_S = 0.05
 
 PROMISES = {
@@ -24,7 +24,7 @@
 
 
 class GracefulStop(NamedTuple):
-    """One graceful stop: when SIGTERM was sent and when it started again."""
+    """One graceful stop, from its SIGTERM to the restart; wall-clock seconds."""
 
     node_id: str
     role: str
@@ -33,7 +33,7 @@
 
 
 class RevisionSample(NamedTuple):
-    """Revision of a node that one control instance showed."""
+    """Revision of a node as one control instance reported it."""
 
     observed_at: float
     control: str
@@ -43,7 +43,7 @@
 
 
 class AcceptedChange(NamedTuple):
-    """A change that an operator was told is accepted."""
+    """A change that a control instance confirmed as accepted."""
 
     change_id: str
     revision: int
@@ -51,29 +51,29 @@
 
 
 class CellLog(NamedTuple):
-    """All that the checks look at.
+    """Input of the checks.
 
     Attributes
     ----------
     started : int
-        Requests of callers.
+        Number of requests of the callers.
     sends : list of Send
-        Every send of them.
+        All sends of these requests.
     runs : list of dict
         The targets' ``ran`` records.
     versions : set of str
-        Versions that were accepted at any time; with "" for plain services.
+        All versions that were ever accepted, and "" for plain services.
     stops : list of Stop
     cut_elsewhere : bool
-        Whether a fault other than SIGTERM could cut a request.
+        Whether a fault other than SIGTERM may have cut requests.
     accepted : list of Accepted
     samples : list of Sighting
     faulted : dict
-        Node id to the time at which its last fault ended.
+        Node id to the wall-clock time at which its last fault ended.
     restarted : set of str
-        Nodes that started anew, whose revision starts from nothing.
+        Restarted nodes; their revision starts again from 0.
     operators : list of str
-        What operators were told wrongly.
+        Wrong results of operators' changes, joins and stops.
     """
 
     request_count: int
@@ -90,7 +90,7 @@
 
 
 def whole_weights(log: CellLog) -> Iterator[str]:
-    """Yield answers that were made from mixed or unaccepted weights."""
+    """Yield responses that come from mixed or unaccepted weights."""
     delivered = {s.outcome.name for s in log.sends if is_answered(s)}
     for run in log.runs:
         name = prompt_of(run)
@@ -105,18 +105,18 @@
 
 
 def has_single_version_run(log: CellLog, run: dict) -> bool:
-    """Tell whether another run of the same request was of one version."""
+    """Return whether some run of the same request used one version throughout."""
     same = [r for r in log.runs if prompt_of(r) == prompt_of(run)]
     return any(r["version"] and r["version"] == r["version_at_end"] for r in same)
 
 
 def is_answered(send: SendRecord) -> bool:
-    """Tell whether a send got a whole answer."""
+    """Return whether a send got a complete response."""
     return send.outcome.status == 200 and send.outcome.complete
 
 
 def own_whole_answer(log: CellLog) -> Iterator[str]:
-    """Yield crossed, short, invented and missing answers."""
+    """Yield responses that are another caller's, truncated, made up or missing."""
     ran = {prompt_of(run) for run in log.runs}
     last = {}
     for send in log.sends:
@@ -136,7 +136,7 @@
 
 
 def not_run(log: CellLog) -> Iterator[str]:
-    """Yield refusals as not run whose request ran before its next send."""
+    """Yield refusals marked as not run whose request ran before its next send."""
     runs = runs_by_name(log)
     sends = defaultdict(list)
     for send in log.sends:
@@ -155,7 +155,10 @@
 
 
 def runs_by_name(log: CellLog) -> dict[str, list[float]]:
-    """Return the start times of each request's runs; none without weights."""
+    """Return the start times of each request's runs.
+
+    Runs at an engine without weights are left out.
+    """
     runs = defaultdict(list)
     for run in log.runs:
         if run["version"] or run["engine"].startswith("plain"):
@@ -175,7 +178,10 @@
 
 
 def leaving(log: CellLog) -> Iterator[str] | None:
-    """Yield work that a leaving target began too late; None when none left."""
+    """Yield requests that a leaving target began after the grace period.
+
+    Return None when no target left.
+    """
     stops = [stop for stop in log.stops if stop.role == "sidecar"]
     if not stops:
         return None
@@ -190,7 +196,10 @@
 
 
 def graceful(log: CellLog) -> Iterator[str] | None:
-    """Yield requests in progress at a SIGTERM that were not answered whole."""
+    """Yield requests in flight at a SIGTERM that got no complete response.
+
+    Return None when nothing was stopped, or another fault may have cut requests.
+    """
     if not log.stops or log.may_cut_requests:
         return None
     return (
@@ -205,7 +214,7 @@
 
 
 def configuration(log: CellLog) -> Iterator[str]:
-    """Yield reverts, late nodes, lost changes and operators told wrongly."""
+    """Yield operator errors, reverted revisions, and changes late or lost at a node."""
     yield from log.operator_errors
     newest: dict[tuple[str, str], int] = {}
     samples_by_node: dict[str, list[RevisionSample]] = defaultdict(list)
@@ -237,7 +246,7 @@
 
 
 class PromiseResult(NamedTuple):
-    """What became of one promise in one cell."""
+    """Result of checking one promise in one cell."""
 
     state: str
     reason: str
@@ -261,7 +270,7 @@
 
 
 def graceful_skip_reason(log: CellLog) -> str:
-    """Say why no graceful stop is judged."""
+    """Return why graceful stops are not checked."""
     if log.stops:
         return "another fault cuts requests in the same cell"
     return "nothing was stopped gracefully"
--- a/tests/matrix/relayed_fleet.py
+++ b/tests/matrix/relayed_fleet.py
@@ -1,4 +1,4 @@
-"""One small fleet whose every link passes a relay."""
+"""Small fleet with a relay on every link."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 MODEL_BYTES = 1 << 20
 CHUNK_BYTES = 1 << 16
 ORIGIN_BYTES_PER_S = 1.5e6
-# Small, so that a few dozen changes fold the log.
+# Small, so that a few dozen changes trigger a snapshot.
 SNAPSHOT_BYTES = 16_384
 POLL_S = 0.05
 LINK_TIMING = {"heartbeat_ms": 200, "silence_ms": 800}
@@ -27,7 +27,7 @@
 ENTRIES = ["entry-1", "entry-2"]
 ENGINES = [f"engine-{i}" for i in (1, 2, 3)]
 PLAIN_TARGETS = ["plain-1", "plain-2"]
-# engine-2 takes any fencing number, as some engines of the brief do.
+# engine-2 accepts any fencing number, as some real engines do.
 IGNORES_FENCING = "engine-2"
 
 STREAM = Workload("reports", "/v1/completions", True, True, 40, "dealer-1")
@@ -39,14 +39,14 @@
 
 
 class RelayedFleet(Fleet):
-    """A fleet of ten daemons; `relays` is keyed by who connects to whom.
+    """Fleet of ten daemons; `relays` is keyed by the link's client and server.
 
     Parameters
     ----------
     folder : Path
-        Of this run.
+        Folder of this run; emptied first.
     build : str
-        Name of a broken build of ``broken.json``; empty for the real one.
+        Name of a broken build in ``broken.json``; empty for the unchanged source.
     """
 
     def __init__(self, folder, build: str = ""):
@@ -66,10 +66,10 @@
         self.session: aiohttp.ClientSession | None = None
         self.poll_task: asyncio.Task | None = None
 
-    # -- starting --------------------------------------------------------
+    # -- start -----------------------------------------------------------
 
     def start_node(self, role: str, settings: dict) -> Node:
-        """Put a relay on each link, then start the daemon."""
+        """Add a relay to each link of a daemon, then start it."""
         name = settings["node_id"]
         self.wire_addresses[name] = settings.get("wire_listen", "")
         if "control" in settings:
@@ -90,22 +90,22 @@
         return node
 
     def start_process(self, name: str, command: list[str]):
-        """Start a daemon of the broken build, when there is one."""
+        """Start a daemon, from the broken build if one is set."""
         if self.build and command[1] == "wisteriapulley.cli":
             command = ["-m", "tests.matrix.broken", self.build, *command[2:]]
         return super().start_process(name, command)
 
     def add_relay(self, near: str, far: str, destination: str) -> str:
-        """Return the address of a relay on one link."""
+        """Add a relay for one link and return its address."""
         relay = self.relays[near, far] = Relay(destination)
         return relay.address
 
     def relays_of(self, node_id: str) -> list[Relay]:
-        """Return the relays of every link of a node."""
+        """Return the relays on the links of a node."""
         return [relay for ends, relay in self.relays.items() if node_id in ends]
 
     async def start(self) -> None:
-        """Start the whole fleet and wait until it serves."""
+        """Start the whole fleet and wait until it is ready."""
         self.session = aiohttp.ClientSession(
             headers={"Authorization": f"Bearer {TOKEN}"},
             timeout=aiohttp.ClientTimeout(total=5),
@@ -114,7 +114,7 @@
         self.start_control(DOMAINS, snapshot_bytes=SNAPSHOT_BYTES, **LINK_TIMING)
         slow = ("--token-s", "0.005", "--load-s", "0.4")
         for name, domain in zip(ENGINES, DOMAINS, strict=True):
-            # The users say which engines check who orders them: so do settings.
+            # Operators set for each target whether its engine checks fencing.
             fences = name != IGNORES_FENCING
             options = slow if fences else (*slow, "--ignores-fencing")
             self.start_target(
@@ -140,7 +140,7 @@
         await self.wait_ready()
 
     async def close(self) -> None:
-        """End the fleet, its relays and its session."""
+        """Stop the fleet and its relays, and close the HTTP session."""
         if self.poll_task is not None:
             self.poll_task.cancel()
         for relay in self.relays.values():
@@ -149,7 +149,7 @@
         await self.session.close()
 
     def new_version(self) -> str:
-        """Publish new weights."""
+        """Publish new weights and return their version."""
         self.weights_seed += 1
         version = self.publish(self.weights_seed, MODEL_BYTES, CHUNK_BYTES)
         self.versions.add(version)
@@ -160,7 +160,7 @@
     async def call(
         self, control: str, method: str, path: str, body=None
     ) -> dict | None:
-        """Ask one control instance; None when it does not answer well."""
+        """Call one control instance; return None on a connection error or a 503."""
         url = self.nodes[control].http + path
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
             async with self.session.request(method, url, json=body) as response:
@@ -169,7 +169,7 @@
         return None
 
     async def call_any(self, method: str, path: str, body=None) -> dict:
-        """Ask each control instance in turn until one answers."""
+        """Call each control instance in turn until one responds."""
         for _ in range(40):
             for control in CONTROLS:
                 answer = await self.call(control, method, path, body)
@@ -179,7 +179,7 @@
         raise RuntimeError("no control instance answered for eight seconds")
 
     async def build_change(self, name: str, change_id: str = "", **values) -> dict:
-        """Build a change of one entry on what is accepted now."""
+        """Build a change of one entry, based on its current revision."""
         image = await self.call_any("GET", "/v1/catalogue")
         base = image["entries"].get(name, {"revision": 0})["revision"]
         entry = self.entries[name] | values
@@ -188,7 +188,7 @@
         return {"change_id": change_id, "owner": OWNER, "puts": [put]}
 
     async def submit_change(self, name: str, **values) -> AcceptedChange:
-        """Have a change of one entry accepted, resending until answered."""
+        """Submit a change of one entry; resend it until a control instance responds."""
         change = await self.build_change(name, **values)
         result = await self.call_any("POST", "/v1/catalogue/changes", change)
         if result.get("code") != 0:
@@ -197,13 +197,13 @@
         return AcceptedChange(change["change_id"], result["revision"], time.time())
 
     async def poll_controls(self) -> None:
-        """Note every node's revision as each control instance shows it."""
+        """Poll the control instances; record the revisions that they report."""
         while True:
             await asyncio.gather(*(self.poll_control(control) for control in CONTROLS))
             await asyncio.sleep(POLL_S)
 
     async def poll_control(self, control: str) -> None:
-        """Note what one control instance shows."""
+        """Record the status that one control instance reports."""
         status = await self.call(control, "GET", "/v1/status")
         if status is None:
             return
@@ -218,13 +218,13 @@
             self.record_revision(now, control, row["node_id"], domain, revision)
 
     def record_revision(self, now, control, node_id, domain, revision) -> None:
-        """Note a sighting when the revision differs from the last one."""
+        """Record a sample of a node's revision."""
         self.revision_samples.append(
             RevisionSample(now, control, node_id, domain, revision)
         )
 
     async def wait_live(self, node_id: str, timeout_s: float = 10.0) -> bool:
-        """Wait until a daemon that was started answers at all."""
+        """Wait until a started daemon answers its liveness check."""
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
@@ -237,7 +237,7 @@
     # -- state -----------------------------------------------------------
 
     def is_settled(self, revision: int) -> bool:
-        """Tell whether every node serves what was accepted."""
+        """Return whether every node serves the accepted revision and version."""
         version = self.entries["reports"]["version"]
         nodes = [*ENTRIES, *ENGINES, *PLAIN_TARGETS]
         rows = [self.status_rows.get(name) for name in nodes]
@@ -251,7 +251,7 @@
         )
 
     async def wait_settled(self, revision: int, timeout_s: float = 25.0) -> bool:
-        """Wait until every node serves again; tell whether it came so far."""
+        """Wait until the fleet is settled and ready; return False on timeout."""
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             if self.is_settled(revision):
@@ -264,7 +264,7 @@
         return False
 
     def log_tail(self, node_id: str) -> str:
-        """Return the end of a daemon's log."""
+        """Return the last 1,500 characters of a daemon's log."""
         return (self.folder / "logs" / f"{node_id}.log").read_text()[-1500:]
 
 
--- a/tests/matrix/steps.py
+++ b/tests/matrix/steps.py
@@ -1,7 +1,7 @@
-"""Steps of the path: how each is brought about, and how it is seen.
+"""Steps of a request, a download or a change at which faults are injected.
 
-A step's function starts it, waits until it is seen, and returns the node that
-a fault hits there, or None when the step was not seen.
+The function of a step starts it, waits until it is observed and returns the node
+to inject the fault into, or None when the step was not observed in time.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 async def wait_until(condition) -> bool:
-    """Wait until `condition()`; False when it never comes."""
+    """Wait until `condition()` is true; return False on timeout."""
     deadline = time.monotonic() + STEP_TIMEOUT_S
     while time.monotonic() < deadline:
         if condition():
@@ -38,12 +38,12 @@
 
 
 def pick_follower(context: CellContext) -> str:
-    """Return a control instance that does not lead."""
+    """Return a control instance that is not the leader."""
     return next(name for name in CONTROLS if name != context.fleet.leader)
 
 
 async def restart_sidecar(context: CellContext) -> str | None:
-    """Announce: a sidecar starts anew."""
+    """Announce: a restarted sidecar announces its target."""
     process = context.fleet.nodes[ENGINES[0]].process
     context.restarted_nodes.add(ENGINES[0])
     context.may_cut_requests = True
@@ -55,7 +55,7 @@
 
 
 async def keyed_burst(context: CellContext, pause_s: float) -> None:
-    """Send a burst of keyed requests and let them come so far."""
+    """Send a burst of keyed requests and wait for them to reach a step."""
     context.callers.burst([KEYED_REQUEST] * BURST_REQUESTS)
     await asyncio.sleep(pause_s)
 
@@ -67,7 +67,7 @@
 
 
 async def dispatch(context: CellContext) -> str | None:
-    """Dispatch: claimed requests are on their way to a sidecar."""
+    """Dispatch: claimed requests are being sent to a sidecar."""
     await keyed_burst(context, 0.02)
     return PLAIN_TARGETS[0]
 
@@ -83,21 +83,21 @@
 
 
 async def answer(context: CellContext) -> str | None:
-    """Answer: answers are on their way back through an entry."""
+    """Answer: responses are returning through an entry."""
     context.callers.burst([UNARY] * BURST_REQUESTS)
     await keyed_burst(context, 0.12)
     return "entry-1"
 
 
 async def stream(context: CellContext) -> str | None:
-    """Stream: answers are half way out of an engine."""
+    """Stream: an engine has streamed a part of its responses."""
     context.callers.burst([STREAM] * 4 + [LONG_STREAM] * 8)
     await asyncio.sleep(0.15)
     return ENGINES[0]
 
 
 async def new_version(context: CellContext) -> str:
-    """Have a new version accepted."""
+    """Submit a change to a new version and return the version."""
     fleet = context.fleet
     context.accepted.append(
         await fleet.submit_change("reports", version=fleet.new_version())
@@ -106,7 +106,7 @@
 
 
 async def wait_engine_row(context: CellContext, condition) -> str | None:
-    """Wait for an engine's row that meets a condition; return its node."""
+    """Wait until an engine's status row meets a condition; return its node id."""
     rows = context.fleet.status_rows
 
     def found() -> list[str]:
@@ -116,48 +116,48 @@
 
 
 def chunks_sent(context: CellContext, version: str) -> int:
-    """Return how many chunks of a version the origin has sent."""
+    """Return the number of chunks of a version that the origin has sent."""
     files = f"/{version}/files/"
     records = context.fleet.records("origin")
     return sum(r["event"] == "sent" and files in r["path"] for r in records)
 
 
 async def start_download(context: CellContext, chunks: int) -> str | None:
-    """Start a copy and wait until the origin has sent so many chunks of it."""
+    """Start a download and wait until the origin has sent `chunks` chunks of it."""
     version = await new_version(context)
     sent = await wait_until(lambda: chunks_sent(context, version) >= chunks)
     return ENGINES[0] if sent else None
 
 
 async def download(context: CellContext) -> str | None:
-    """Copy: the first chunks are under way."""
+    """Copy: the first chunks are being downloaded."""
     return await start_download(context, 2)
 
 
 async def verify(context: CellContext) -> str | None:
-    """Verify: chunks of a whole copy are checked one by one."""
+    """Verify: downloaded chunks are being verified."""
     return await start_download(context, CHUNKS // 2)
 
 
 async def permit(context: CellContext) -> str | None:
-    """Permit: a copy is whole and asks the leader to switch."""
+    """Permit: a local copy is complete; its sidecar asks the leader for a permit."""
     return context.fleet.leader if await start_download(context, CHUNKS) else None
 
 
 async def wait_engine_state(context: CellContext, *states: str) -> str | None:
-    """Wait until an engine's target is in a state of the chart."""
+    """Wait until an engine's target is in one of `states`; return its node id."""
     return await wait_engine_row(context, lambda r: r["state"] in states)
 
 
 async def drain(context: CellContext) -> str | None:
-    """Drain: requests end at a target that is to switch."""
+    """Drain: a target completes its requests before it switches versions."""
     context.callers.burst([LONG_STREAM] * 6)
     await new_version(context)
     return await wait_engine_state(context, "draining", "loading")
 
 
 async def load(context: CellContext) -> str | None:
-    """Load: an engine reads its weights."""
+    """Load: an engine loads its weights."""
     await new_version(context)
     return await wait_engine_state(context, "loading")
 
@@ -171,13 +171,13 @@
 
 
 async def submit_title_change(context: CellContext) -> None:
-    """Accept a change while the cell goes on."""
+    """Submit a change of an entry's deadline."""
     revision = await context.fleet.submit_change("titles", limits={"deadline_ms": 6000})
     context.accepted.append(revision)
 
 
 async def accept(context: CellContext) -> str | None:
-    """Accept: a change is on its way to the leader."""
+    """Accept: a change is being sent to the leader."""
     context.pending_change = asyncio.create_task(submit_title_change(context))
     await asyncio.sleep(0.003)
     return context.fleet.leader
@@ -191,19 +191,19 @@
 
 
 async def propagate(context: CellContext) -> str | None:
-    """Propagate: an accepted change goes out to the nodes."""
+    """Propagate: an accepted change is being sent to the nodes."""
     await submit_title_change(context)
     return "entry-2"
 
 
 def snapshot_mtimes(context: CellContext) -> dict[Path, float]:
-    """Return the snapshot files of the control instances."""
+    """Return the control instances' snapshot files and their modification times."""
     data = context.fleet.folder / "data"
     return {path: path.stat().st_mtime for path in data.rglob("*snapshot*")}
 
 
 async def snapshot(context: CellContext) -> str | None:
-    """Snapshot: the replicated log is folded."""
+    """Snapshot: the replicated log is compacted into a snapshot."""
     before = snapshot_mtimes(context)
     for number in range(300):
         change = await context.fleet.submit_change(
@@ -216,7 +216,7 @@
 
 
 async def rejoin(context: CellContext) -> str | None:
-    """Rejoin: a control instance comes back and takes in what it missed."""
+    """Rejoin: a restarted control instance catches up on the log."""
     name = pick_follower(context)
     process = context.fleet.nodes[name].process
     context.restarted_nodes.add(name)
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""The relay, the promises' checks, and a bounded part of the fault matrix."""
+"""Relay, checks of the promises, and a few cells of the fault matrix."""
 
 import asyncio
 import json
@@ -88,7 +88,7 @@
 
 
 class TestPromises:
-    def test_clean_log_holds_every_promise_that_applies(self):
+    def test_clean_log_holds_all_applicable_promises(self):
         states = {
             name: found.state for name, found in check_promises(cell_log()).items()
         }
@@ -96,13 +96,13 @@
         assert applies == set(PROMISES) - {"leaving", "graceful"}
 
     @pytest.mark.parametrize(("promise", "broken"), VIOLATIONS)
-    def test_check_fails_on_what_breaks_its_promise(self, promise, broken):
+    def test_check_detects_violation(self, promise, broken):
         assert check_promises(broken)[promise].state == "broken"
 
 
 class TestRelay:
     @pytest.mark.parametrize("act", ["hold", "silence", "cut"])
-    def test_fault_stops_bytes_and_new_connections_work_after_it(self, act):
+    def test_fault_stops_traffic_and_new_connections_work_after_heal(self, act):
         async def run():
             async def echo(reader, writer):
                 while data := await reader.read(100):
@@ -135,7 +135,7 @@
 
 
 class TestMatrix:
-    def test_data_names_what_the_code_has(self):
+    def test_data_files_match_code(self):
         assert set(MATRIX["faults"]) == set(FAULTS)
         assert MATRIX["steps"] == list(STEPS)
         assert {build["promise"] for build in BUILDS.values()} == set(PROMISES)
