--- a/tests/matrix/__main__.py
+++ b/tests/matrix/__main__.py
@@ -73,14 +73,14 @@
 
     async def start_fleet(self) -> RelayedFleet:
         """Start a fleet; retry when another process took one of its ports."""
-        for last in (False, False, True):
+        for is_last in (False, False, True):
             fleet = RelayedFleet(self.folder / f"fleet-{self.number}", self.build)
             try:
                 await fleet.start()
                 return fleet
             except RuntimeError:
                 await fleet.close()
-                if last:
+                if is_last:
                     raise
         raise AssertionError("unreachable")
 
@@ -94,9 +94,9 @@
     ]
     states = {found.state for found in result.promises.values()}
     state = "BROKEN" if broken else "not run" if states == {"not_run"} else "held"
-    late = "" if result.recovered else " (did not recover)"
+    suffix = "" if result.recovered else " (did not recover)"
     counts = f"{result.requests}/{result.answered}/{result.refused}/{result.failed}"
-    print(f"{state:<8}{result.cell:<34}{result.victim:<11}{counts}{late}", flush=True)
+    print(f"{state:<8}{result.cell:<34}{result.victim:<11}{counts}{suffix}", flush=True)
     if state == "not run":
         print(f"    {next(iter(result.promises.values())).reason}", flush=True)
     for line in broken:
@@ -203,13 +203,13 @@
     results += run_shards(args, [cell for cell in selected if not reasons[cell]])
     figures = count_states(results)
     if not args.build and not args.keep_page:
-        everything = (
+        all_results = (
             merge_results(results, args.folder / RESULTS_FILE)
             if args.merge
             else results
         )
-        (args.folder / RESULTS_FILE).write_bytes(msgspec.json.encode(everything))
-        write_page(everything, count_states(everything))
+        (args.folder / RESULTS_FILE).write_bytes(msgspec.json.encode(all_results))
+        write_page(all_results, count_states(all_results))
     print(json.dumps(figures))
     return 1 if figures["broken"] else 0
 
@@ -238,15 +238,15 @@
 
     A cell that was not run this time keeps its earlier result.
     """
-    kept: dict[tuple[str, int], CellResult] = {}
+    merged: dict[tuple[str, int], CellResult] = {}
     if path.exists():
         for result in msgspec.json.decode(path.read_bytes(), type=list[CellResult]):
-            kept[result.cell, result.seed] = result
+            merged[result.cell, result.seed] = result
     for result in results:
         ran = any(p.state != "not_run" for p in result.promises.values())
-        if ran or (result.cell, result.seed) not in kept:
-            kept[result.cell, result.seed] = result
-    return list(kept.values())
+        if ran or (result.cell, result.seed) not in merged:
+            merged[result.cell, result.seed] = result
+    return list(merged.values())
 
 
 if __name__ == "__main__":
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -104,8 +104,10 @@
         """Return whether an entry answers its readiness check with 200."""
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
             timeout = aiohttp.ClientTimeout(total=0.5)
-            async with self.session.get(f"{url}/health/ready", timeout=timeout) as got:
-                return got.status == 200
+            async with self.session.get(
+                f"{url}/health/ready", timeout=timeout
+            ) as response:
+                return response.status == 200
         return False
 
     async def send_once(self, session, workload, name, headers) -> Outcome:
--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -53,13 +53,13 @@
         return max((change.revision for change in self.accepted), default=0)
 
 
-async def kill(context: CellContext, victim: str, pause_s: float = 0.5) -> None:
+async def kill(context: CellContext, victim: str, downtime_s: float = 0.5) -> None:
     """Kill a process and restart it."""
     process = context.fleet.nodes[victim].process
     context.may_cut_requests = True
     context.restarted_nodes.add(victim)
     await asyncio.to_thread(process.kill)
-    await asyncio.sleep(pause_s)
+    await asyncio.sleep(downtime_s)
     process.start()
     context.record_fault_end(victim)
 
@@ -114,12 +114,12 @@
     context.record_fault_end(victim)
 
 
-async def fault_links(context: CellContext, victim: str, act) -> None:
+async def fault_links(context: CellContext, victim: str, inject) -> None:
     """Apply a fault to every link of a node, then repair the links."""
     context.may_cut_requests = True
     relays = context.fleet.relays_of(victim)
     for relay in relays:
-        act(relay)
+        inject(relay)
     await asyncio.sleep(FAULT_DURATION_S)
     for relay in relays:
         relay.heal()
@@ -160,7 +160,7 @@
     """Submit a change to a new version of the weights."""
     fleet = context.fleet
     context.accepted.append(
-        await fleet.submit_change("reports", version=fleet.new_version())
+        await fleet.submit_change("reports", version=fleet.publish_new_version())
     )
 
 
--- a/tests/matrix/page.py
+++ b/tests/matrix/page.py
@@ -59,8 +59,8 @@
     yield f"| --- |{' --- |' * len(MATRIX['steps'])}"
     rows: dict[str, dict[str, str]] = {}
     for cell in all_cells():
-        found = states.get(cell.name, {"not_run"})
-        worst = next(state for state in SEVERITY_ORDER if state in found)
+        cell_states = states.get(cell.name, {"not_run"})
+        worst = next(state for state in SEVERITY_ORDER if state in cell_states)
         rows.setdefault(" + ".join(cell.faults), {})[cell.step] = MARKS[worst]
     for fault, marks in rows.items():
         cells = " | ".join(marks.get(step, "") for step in MATRIX["steps"])
@@ -79,28 +79,28 @@
         "not_applicable": "Not applicable",
     }
     for state, title in titles.items():
-        found: dict[str, list[str]] = {}
+        cells_by_reason: dict[str, list[str]] = {}
         for result in results:
             for promise, judgement in result.promises.items():
                 if judgement.state == state:
                     reason = judgement.reason.splitlines()[0][:160]
                     key = f"{promise}: {reason}" if state == "broken" else reason
                     where = f"{result.cell} (seed {result.seed})"
-                    names = found.setdefault(key, [])
+                    names = cells_by_reason.setdefault(key, [])
                     if where not in names:
                         names.append(where)
         yield f"## {title}"
         yield ""
-        for reason, cells in found.items():
+        for reason, cells in cells_by_reason.items():
             shown = ", ".join(cells) if state != "not_applicable" else len(cells)
             yield f"- {reason}: {shown}{'' if state != 'not_applicable' else ' cells'}"
-        if not found:
+        if not cells_by_reason:
             yield "None."
         yield ""
-    late = sorted({r.cell for r in results if not r.recovered})
+    not_recovered = sorted({r.cell for r in results if not r.recovered})
     yield "## Not serving again within 25 s of the fault"
     yield ""
-    yield ", ".join(late) if late else "None."
+    yield ", ".join(not_recovered) if not_recovered else "None."
     yield ""
 
 
--- a/tests/matrix/relayed_fleet.py
+++ b/tests/matrix/relayed_fleet.py
@@ -83,9 +83,9 @@
             settings["wire_advertise"] = self.add_relay(
                 "any", name, self.wire_addresses[name]
             )
-            for key, far in (("target_url", "target"), ("origin_url", "origin")):
-                near = settings[key].removeprefix("http://")
-                settings[key] = f"http://{self.add_relay(name, far, near)}"
+            for key, server in (("target_url", "target"), ("origin_url", "origin")):
+                destination = settings[key].removeprefix("http://")
+                settings[key] = f"http://{self.add_relay(name, server, destination)}"
         node = super().start_node(role, settings)
         return node
 
@@ -95,9 +95,9 @@
             command = ["-m", "tests.matrix.broken", self.build, *command[2:]]
         return super().start_process(name, command)
 
-    def add_relay(self, near: str, far: str, destination: str) -> str:
+    def add_relay(self, client: str, server: str, destination: str) -> str:
         """Add a relay for one link and return its address."""
-        relay = self.relays[near, far] = Relay(destination)
+        relay = self.relays[client, server] = Relay(destination)
         return relay.address
 
     def relays_of(self, node_id: str) -> list[Relay]:
@@ -112,30 +112,34 @@
         )
         self.start_origin(ORIGIN_BYTES_PER_S)
         self.start_control(DOMAINS, snapshot_bytes=SNAPSHOT_BYTES, **LINK_TIMING)
-        slow = ("--token-s", "0.005", "--load-s", "0.4")
+        engine_options = ("--token-s", "0.005", "--load-s", "0.4")
         for name, domain in zip(ENGINES, DOMAINS, strict=True):
             # Operators set for each target whether its engine checks fencing.
             fences = name != IGNORES_FENCING
-            options = slow if fences else (*slow, "--ignores-fencing")
+            options = (
+                engine_options if fences else (*engine_options, "--ignores-fencing")
+            )
             self.start_target(
                 name, domain, "models", "engine", options, fences=fences, **LINK_TIMING
             )
         for name, domain in zip(PLAIN_TARGETS, DOMAINS, strict=False):
-            work = ("--work-s", "0.1")
-            self.start_target(name, domain, "auction", "plain", work, **LINK_TIMING)
+            service_options = ("--work-s", "0.1")
+            self.start_target(
+                name, domain, "auction", "plain", service_options, **LINK_TIMING
+            )
         for name, domain in zip(ENTRIES, DOMAINS, strict=False):
             self.start_entry(name, domain, **LINK_TIMING)
         for relay in self.relays.values():
             await relay.start()
         await self.wait_ready(CONTROLS)
         self.poll_task = asyncio.create_task(self.poll_controls())
-        for name, service, more in (
-            ("reports", "models", {"version": self.new_version()}),
+        for name, service, extra in (
+            ("reports", "models", {"version": self.publish_new_version()}),
             ("bids", "auction", {"idempotent": False}),
             ("titles", "auction", {}),
         ):
             entry = {"name": name, "owner": OWNER, "class": name, "service": service}
-            self.entries[name] = entry | more
+            self.entries[name] = entry | extra
             await self.submit_change(name)
         await self.wait_ready()
 
@@ -148,7 +152,7 @@
         self.stop()
         await self.session.close()
 
-    def new_version(self) -> str:
+    def publish_new_version(self) -> str:
         """Publish new weights and return their version."""
         self.weights_seed += 1
         version = self.publish(self.weights_seed, MODEL_BYTES, CHUNK_BYTES)
@@ -208,8 +212,8 @@
         if status is None:
             return
         now = time.time()
-        own = self.nodes[control].settings["failure_domain"]
-        self.record_revision(now, control, control, own, status["revision"])
+        own_domain = self.nodes[control].settings["failure_domain"]
+        self.record_revision(now, control, control, own_domain, status["revision"])
         self.control_revisions[control] = status["revision"]
         self.leader = status["leader"] or self.leader
         for row in status["nodes"]:
@@ -241,8 +245,8 @@
         version = self.entries["reports"]["version"]
         nodes = [*ENTRIES, *ENGINES, *PLAIN_TARGETS]
         rows = [self.status_rows.get(name) for name in nodes]
-        held = [self.control_revisions.get(name, 0) for name in CONTROLS]
-        return min(held) >= revision and all(
+        revisions = [self.control_revisions.get(name, 0) for name in CONTROLS]
+        return min(revisions) >= revision and all(
             row is not None
             and row["revision"] >= revision
             and row["state"] == "open"
--- a/tests/matrix/steps.py
+++ b/tests/matrix/steps.py
@@ -96,11 +96,11 @@
     return ENGINES[0]
 
 
-async def new_version(context: CellContext) -> str:
+async def submit_new_version(context: CellContext) -> str:
     """Submit a change to a new version and return the version."""
     fleet = context.fleet
     context.accepted.append(
-        await fleet.submit_change("reports", version=fleet.new_version())
+        await fleet.submit_change("reports", version=fleet.publish_new_version())
     )
     return fleet.entries["reports"]["version"]
 
@@ -109,10 +109,10 @@
     """Wait until an engine's status row meets a condition; return its node id."""
     rows = context.fleet.status_rows
 
-    def found() -> list[str]:
+    def matching_nodes() -> list[str]:
         return [n for n in ENGINES if n in rows and condition(rows[n])]
 
-    return found()[0] if await wait_until(found) else None
+    return matching_nodes()[0] if await wait_until(matching_nodes) else None
 
 
 def chunks_sent(context: CellContext, version: str) -> int:
@@ -124,7 +124,7 @@
 
 async def start_download(context: CellContext, chunks: int) -> str | None:
     """Start a download and wait until the origin has sent `chunks` chunks of it."""
-    version = await new_version(context)
+    version = await submit_new_version(context)
     sent = await wait_until(lambda: chunks_sent(context, version) >= chunks)
     return ENGINES[0] if sent else None
 
@@ -152,19 +152,19 @@
 async def drain(context: CellContext) -> str | None:
     """Drain: a target completes its requests before it switches versions."""
     context.callers.burst([LONG_STREAM] * 6)
-    await new_version(context)
+    await submit_new_version(context)
     return await wait_engine_state(context, "draining", "loading")
 
 
 async def load(context: CellContext) -> str | None:
     """Load: an engine loads its weights."""
-    await new_version(context)
+    await submit_new_version(context)
     return await wait_engine_state(context, "loading")
 
 
 async def open_target(context: CellContext) -> str | None:
     """Open: the first target serves the new version."""
-    version = await new_version(context)
+    version = await submit_new_version(context)
     return await wait_engine_row(
         context, lambda r: r["state"] == "open" and r["version"] == version
     )
