--- a/tests/matrix/promises.py
+++ b/tests/matrix/promises.py
@@ -55,24 +55,24 @@
 
     Attributes
     ----------
-    started : int
+    request_count : int
         Number of requests of the callers.
-    sends : list of Send
+    sends : list of SendRecord
         All sends of these requests.
     runs : list of dict
         The targets' ``ran`` records.
     versions : set of str
         All versions that were ever accepted, and "" for plain services.
-    stops : list of Stop
-    cut_elsewhere : bool
+    stops : list of GracefulStop
+    may_cut_requests : bool
         Whether a fault other than SIGTERM may have cut requests.
-    accepted : list of Accepted
+    accepted : list of AcceptedChange
     samples : list of Sighting
-    faulted : dict
+    fault_ended_at : dict
         Node id to the wall-clock time at which its last fault ended.
-    restarted : set of str
+    restarted_nodes : set of str
         Restarted nodes; their revision starts again from 0.
-    operators : list of str
+    operator_errors : list of str
         Wrong results of operators' changes, joins and stops.
     """
 
