--- a/tests/matrix/promises.py
+++ b/tests/matrix/promises.py
@@ -67,7 +67,7 @@
     may_cut_requests : bool
         Whether a fault other than SIGTERM may have cut requests.
     accepted : list of AcceptedChange
-    samples : list of Sighting
+    revision_samples : list of RevisionSample
     fault_ended_at : dict
         Node id to the wall-clock time at which its last fault ended.
     restarted_nodes : set of str
--- a/tests/matrix/steps.py
+++ b/tests/matrix/steps.py
@@ -172,8 +172,8 @@
 
 async def submit_title_change(context: CellContext) -> None:
     """Submit a change of an entry's deadline."""
-    revision = await context.fleet.submit_change("titles", limits={"deadline_ms": 6000})
-    context.accepted.append(revision)
+    change = await context.fleet.submit_change("titles", limits={"deadline_ms": 6000})
+    context.accepted.append(change)
 
 
 async def accept(context: CellContext) -> str | None:
