--- a/src/wisteriapulley/direct/dispatch.py
+++ b/src/wisteriapulley/direct/dispatch.py
@@ -336,7 +336,7 @@
 
         It guarantees that the request did not run only if that is certain.
         """
-        refusal = refusal or Refusal(RefusalKind.FAILED, reason="no send left")
+        refusal = refusal or Refusal(RefusalKind.FAILED, reason="no attempt left")
         if progress.may_have_run:
             return Refusal(RefusalKind.FAILED, reason=refusal.reason)
         if refusal.kind is RefusalKind.FAILED:
--- a/src/wisteriapulley/direct/service.py
+++ b/src/wisteriapulley/direct/service.py
@@ -70,7 +70,7 @@
             "log_lines_lost", "Log lines dropped since the start."
         )
         self.quarantined = self.metrics.gauge(
-            "requests_quarantined", "Requests that are not sent to targets any more."
+            "requests_quarantined", "Requests that are sent to no target any more."
         )
         self.dispatcher = Dispatcher(
             settings,
